--- a/internal/control/pacing/pacing.go
+++ b/internal/control/pacing/pacing.go
@@ -1,23 +1,24 @@
-// Package pacing spreads the prompts that entry hosts send to one engine, so that
-// no burst of them holds up the answers under way there.
+// Package pacing queues the prompts that entry hosts send to the engines of a region, picks an
+// engine for each, and spaces the prompts of one engine in time.
 //
-// An engine reads prompts between the steps of its running answers: whatever has
-// come since the last step is read in the next one, up to a bound, and each stream
-// there pauses for as long. The pause between two events is two steps. So prompts
-// that come together, by chance and from many hosts, make all streams of the engine
-// late, while the same prompts one after the other make none late.
+// An engine prefills prompts between the decoding steps of its running answers: whatever has
+// arrived since the last step is prefilled in the next one, up to a bound, and every stream of
+// the engine pauses for that long. The pause between two events of a stream spans two steps. So
+// prompts that arrive together, by chance and from many hosts, delay all streams of the engine,
+// while the same prompts one after the other delay none.
 //
-// For all engines of a region one host, their pacer, keeps the instant up to which each
-// of them has prompts to read (Clocks), and counts the places that are taken there
-// (places). Who wants to send a prompt tells the pacer which engines can answer it and how
-// long each would read, and gets the engine and the instant to send at, or waits in its
-// Queue until an engine is free. It says when the answer is complete. A pacer that is lost
-// costs some pauses and waits at engines, and no promise rests on it: the next one goes by
-// the engines' own words on their load.
+// In each region one host, the prompt scheduler, tracks for every engine the instant until
+// which its prefill time is booked (PrefillBacklogs), and counts the slots in use there
+// (slotUsage). A host that wants to send a prompt names to the scheduler the engines that can
+// answer it and the prefill time at each. It gets the engine and the instant to send at, or
+// waits in the scheduler's Queue until an engine is free, and reports when the answer is
+// complete. The loss of a scheduler costs some pauses and some waiting at engines, and no
+// guarantee depends on it: the next scheduler starts from the load that the engines report.
 //
-// That the pacer chooses the engine is what evens them out. A host knows what it has
-// sent itself, and from reports what the others had sent a second or two ago: many hosts
-// then choose the same engine, whose streams pause for too long while others have time left.
+// The scheduler chooses the engine so that engines are loaded evenly. A host alone knows what
+// it has sent itself, and from reports what the others had sent a second or two ago: many hosts
+// would then choose the same engine, whose streams pause for too long while other engines have
+// time left.
 //
 // # Usage
 //
@@ -39,15 +40,19 @@
 //	// if slot.Booked: send to slot.Server at slot.At, and when the answer is complete:
 //	queue.Ended(now, slot.Server, ticket)
 //
-// Clocks alone book an engine's reading ahead in the order of arrival; the queue is
-// measured against that (TestUnderOverloadWhoIsServedIsInTime).
+// The owner of a Queue has to call Grant regularly while prompts wait, and Heard with the loads
+// that engines report. A Queue starts no goroutines; a mutex guards it.
 //
-// # Which host is the pacer
+// PrefillBacklogs alone books prefill time in the order of arrival; the queue is tested against
+// that (TestOverloadedQueueServesInTime).
 //
-// Pacers gives them by rendezvous hashing over the hosts of the engines' region, so
-// that all hosts find the same ones without a word. Where they don't agree for a
-// while, an engine has two pacers. In a large fleet models are dealt out to several
-// pacers, which costs some evenness where two busy models share an engine.
+// # Which host is the prompt scheduler
+//
+// Pacers picks the schedulers by rendezvous hashing over the hosts of the engines' region, so
+// that all hosts pick the same ones without communication. While hosts disagree about which
+// hosts there are, an engine may have two schedulers. In a large fleet the models are divided
+// among several schedulers, and two busy models that share an engine are then balanced less
+// evenly.
 package pacing
 
 import (
@@ -63,147 +68,149 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// clearStep is what stays free after each prompt: one step of the running answers
-// and the spread of the ways. With it no two prompts are read in steps that follow
-// one another, and a pause between two events, which is two steps, holds one prompt
-// at most. Without it a prompt of the largest size (0.21 s) and any other beside it
-// make a pause of over 0.3 s for every stream of the engine.
-const clearStep = 25 * time.Millisecond
+// prefillGap is the time that stays free after each prompt: one decoding step and the variation
+// of network delay. It keeps two prompts from being prefilled in consecutive steps, so that the
+// pause between two events, which spans two steps, contains one prompt at most. Without it a
+// prompt of the largest size (0.21 s) and any other next to it pause every stream of the engine
+// for over 0.3 s.
+const prefillGap = 25 * time.Millisecond
 
-// mostWait is how far ahead an engine is booked. Beyond it more is asked of the
-// engine than it can do: holding prompts back any longer would only make them late
-// as well, while the engine's own queue goes by priority.
-const mostWait = 350 * time.Millisecond
+// maxSendDelay is the longest time for which a prompt is held back before it is sent. With a
+// larger backlog the engine is overloaded: holding prompts back any longer would only make them
+// late as well, while the engine's own queue orders them by priority.
+const maxSendDelay = 350 * time.Millisecond
 
-// mostBooked is how far ahead the clock of an engine goes. Between mostWait and it
-// prompts are sent on at once, and the clock tells which engine has less before it, and
-// when an engine has too much. A clock that is wrong by its estimates must come back soon.
-const mostBooked = 2 * time.Second
+// maxBacklog bounds an engine's backlog. Between maxSendDelay and maxBacklog prompts are sent
+// at once, and the backlog still tells which engine has less queued work, and when an engine is
+// overloaded. The bound makes a backlog recover soon that wrong estimates have driven too high.
+const maxBacklog = 2 * time.Second
 
-// forgetAfter is how long a clock that stands in the past is kept.
-const forgetAfter = 10 * time.Second
+// idleRetention is for how long an engine without a backlog is remembered, and the interval
+// between two sweeps.
+const idleRetention = 10 * time.Second
 
-// Clocks has a clock for each engine. The zero value works; it is safe for use by
-// many goroutines.
-type Clocks struct {
-	mu    sync.Mutex
-	busy  map[ident.ServerName]time.Time
-	sweep time.Time
+// PrefillBacklogs has, for each engine, the instant until which its prefill time is booked. The
+// zero value is ready to use; it is safe for concurrent use by many goroutines.
+type PrefillBacklogs struct {
+	mu        sync.Mutex
+	busyUntil map[ident.ServerName]time.Time
+	sweptAt   time.Time
 }
 
 // Candidate is an engine that can answer a prompt.
 type Candidate struct {
 	Server ident.ServerName
 	Region ident.Region
-	// Reading is how long the engine reads the prompt, Beside what else it costs to
-	// ask this one: the way there, the answers that run there, its errors.
+	// Reading is the prefill time of the prompt at this engine. Beside is the rest of the
+	// expected time to the first byte: the network delay, the answers that run there, its
+	// errors.
 	Reading time.Duration
 	Beside  time.Duration
-	// Places is how many answers run at the engine at once; 0 for any number.
+	// Places is the engine's number of slots, the answers that it runs at once; 0 for no limit.
 	Places int
 }
 
-// Prompt is a prompt that is to be sent to one of some engines, of which there must be
-// one. It is booked at a cost of at most Most, and where at most Limit is booked ahead of
-// it; 0 stands for any.
+// Prompt is a request for one of its Candidates, of which there must be at least one. It is
+// booked only at a cost of at most Most, and does not wait in the queue if it has such a bound.
+// PrefillBacklogs books it only behind a backlog of at most MaxBacklog. 0 stands for no bound.
 type Prompt struct {
 	Candidates []Candidate
 	Most       time.Duration
-	Limit      time.Duration
-	// Clear is for how long the engine is kept clear after the prompt; 0 stands for
-	// clearStep.
+	MaxBacklog time.Duration
+	// Clear is the time that the engine stays free after the prompt; 0 stands for prefillGap.
 	Clear time.Duration
-	// Ticket names the prompt.
+	// Ticket identifies the prompt.
 	Ticket Ticket
-	// Objective is when the first event is in time, GiveUp when nobody waits any more;
-	// Priority ranks prompts, 0 first.
+	// Objective is the latest instant at which the first event is in time, GiveUp the one at
+	// which the prompt is abandoned. Priority ranks prompts, 0 is the most urgent.
 	Objective time.Time
 	GiveUp    time.Time
 	Priority  int
-	// Holds tells that it may wait in the queue.
+	// Holds is whether the prompt may wait in the queue.
 	Holds bool
 }
 
-// Slot is an engine and the instant at which to send a prompt there. Index is the
-// engine's among the candidates.
+// Slot is an engine and the instant at which to send a prompt there. Index is the engine's
+// position among the candidates.
 type Slot struct {
 	Server ident.ServerName
 	Index  int
 	At     time.Time
-	// Cost is the expected time to the first byte from now on, Ahead the part of it for
-	// which the engine is booked.
+	// Cost is the expected time from now to the first byte. Ahead is the part of it before the
+	// engine starts the prefill: its backlog, or the wait for a slot.
 	Cost  time.Duration
 	Ahead time.Duration
-	// Booked tells that the engine is kept for the prompt, Full that no engine can begin
-	// it before it gives up. Where it is neither, who asks may ask again.
+	// Booked is whether the engine is reserved for the prompt. Full is whether no engine is
+	// expected to start it before it is abandoned. If neither is set, the caller may try again.
 	Booked bool
 	Full   bool
 }
 
-// Reserve finds the candidate with the least cost, and books it for the reading of a
-// prompt unless a bound of the prompt is passed.
-func (c *Clocks) Reserve(now time.Time, prompt *Prompt) Slot {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.forget(now)
-	best := c.cheapest(now, prompt.Candidates)
-	if prompt.Most > 0 && best.Cost > prompt.Most || prompt.Limit > 0 && best.Ahead > prompt.Limit {
+// Reserve finds the candidate with the least cost, and books the prefill time of a prompt there
+// unless that exceeds a bound of the prompt.
+func (b *PrefillBacklogs) Reserve(now time.Time, prompt *Prompt) Slot {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.sweep(now)
+	best := b.cheapest(now, prompt.Candidates)
+	if prompt.Most > 0 && best.Cost > prompt.Most || prompt.MaxBacklog > 0 && best.Ahead > prompt.MaxBacklog {
 		return best
 	}
 	best.Booked = true
-	c.book(now, prompt, &best)
+	b.add(now, prompt, &best)
 	return best
 }
 
-// book adds the reading of a prompt to an engine's clock.
-func (c *Clocks) book(now time.Time, prompt *Prompt, slot *Slot) {
-	reading := prompt.Candidates[slot.Index].Reading
-	if slot.Ahead <= mostWait {
-		reading += cmp.Or(prompt.Clear, clearStep)
+// add extends an engine's backlog by the prefill time of a prompt.
+func (b *PrefillBacklogs) add(now time.Time, prompt *Prompt, reservation *Slot) {
+	prefillTime := prompt.Candidates[reservation.Index].Reading
+	if reservation.Ahead <= maxSendDelay {
+		prefillTime += cmp.Or(prompt.Clear, prefillGap)
 	}
-	c.busy[slot.Server] = now.Add(min(slot.Ahead+reading, mostBooked))
+	b.busyUntil[reservation.Server] = now.Add(min(reservation.Ahead+prefillTime, maxBacklog))
 }
 
-// ahead is how long an engine has to read what it is booked for.
-func (c *Clocks) ahead(now time.Time, server ident.ServerName) time.Duration {
-	return max(c.busy[server].Sub(now), 0)
+// backlog returns the time until an engine has prefilled all prompts booked there.
+func (b *PrefillBacklogs) backlog(now time.Time, server ident.ServerName) time.Duration {
+	return max(b.busyUntil[server].Sub(now), 0)
 }
 
-func (c *Clocks) cheapest(now time.Time, candidates []Candidate) Slot {
+func (b *PrefillBacklogs) cheapest(now time.Time, candidates []Candidate) Slot {
 	var best Slot
 	for i := range candidates {
-		one := &candidates[i]
-		ahead := c.ahead(now, one.Server)
-		cost := ahead + one.Reading + one.Beside
+		candidate := &candidates[i]
+		backlog := b.backlog(now, candidate.Server)
+		cost := backlog + candidate.Reading + candidate.Beside
 		if i == 0 || cost < best.Cost {
 			best = Slot{
-				Server: one.Server,
+				Server: candidate.Server,
 				Index:  i,
-				At:     now.Add(min(ahead, mostWait)),
+				At:     now.Add(min(backlog, maxSendDelay)),
 				Cost:   cost,
-				Ahead:  ahead,
+				Ahead:  backlog,
 			}
 		}
 	}
 	return best
 }
 
-func (c *Clocks) forget(now time.Time) {
-	if c.busy == nil {
-		c.busy = make(map[ident.ServerName]time.Time)
+// sweep forgets engines that have had no backlog for idleRetention.
+func (b *PrefillBacklogs) sweep(now time.Time) {
+	if b.busyUntil == nil {
+		b.busyUntil = make(map[ident.ServerName]time.Time)
 	}
-	if now.Sub(c.sweep) < forgetAfter {
+	if now.Sub(b.sweptAt) < idleRetention {
 		return
 	}
-	c.sweep = now
-	for server, until := range c.busy {
-		if now.Sub(until) > forgetAfter {
-			delete(c.busy, server)
+	b.sweptAt = now
+	for server, until := range b.busyUntil {
+		if now.Sub(until) > idleRetention {
+			delete(b.busyUntil, server)
 		}
 	}
 }
 
-// Host is a host that may be a pacer. Power is how fast it can work, in cores.
+// Host is a host that may be a prompt scheduler. Power is its CPU capacity in cores.
 type Host struct {
 	Name       ident.HostID
 	Address    string
@@ -212,69 +219,71 @@
 	Power      float64
 }
 
-// hostsPerPacer is how many hosts send to the pacers of one group of models. Pacers of one
-// region each count the places of an engine for themselves, and together send more than it
-// has: so there are several only where one would not have the processor time.
-const hostsPerPacer = 400
+// hostsPerScheduler is the number of hosts that send prompts to the schedulers of one group of
+// models. Each scheduler of a region counts the slots of an engine for itself, and together
+// they send more than the engine has: so there are several only where one would run out of
+// processor time.
+const hostsPerScheduler = 400
 
-// Ranks is how many hosts may stand in for the first pacer, one after the other.
-const Ranks = 2
+// SchedulersPerGroup is the number of hosts that may be the scheduler of a group: the second
+// one takes over when the first does not answer.
+const SchedulersPerGroup = 2
 
-// Pacers gives the hosts that pace the engines of a region for a model, the first
-// one first: among the hosts there or, where there is none, among all.
+// Pacers returns the prompt schedulers for a model's engines in a region, the primary one
+// first. They are hosts of that region or, if it has none, of any.
 func Pacers(hosts []Host, model ident.ModelName, region ident.Region) []Host {
-	there := InRegion(hosts, region)
-	if len(there) == 0 {
-		there = hosts
+	candidates := InRegion(hosts, region)
+	if len(candidates) == 0 {
+		candidates = hosts
 	}
-	return pacersOf(there, region, int(xxhash.Sum64String(string(model))%uint64(groups(hosts))))
+	return schedulersOf(candidates, region, int(xxhash.Sum64String(string(model))%uint64(groupCount(hosts))))
 }
 
-// groups is how many groups the models are dealt out to, each with its pacers.
-func groups(hosts []Host) int {
-	return 1 + len(hosts)/hostsPerPacer
+// groupCount returns the number of groups into which models are divided, each with its own
+// schedulers.
+func groupCount(hosts []Host) int {
+	return 1 + len(hosts)/hostsPerScheduler
 }
 
-func pacersOf(there []Host, region ident.Region, group int) []Host {
-	return FirstStrong(there, string(region)+"/"+strconv.Itoa(group), Ranks)
+func schedulersOf(candidates []Host, region ident.Region, group int) []Host {
+	return FirstStrong(candidates, string(region)+"/"+strconv.Itoa(group), SchedulersPerGroup)
 }
 
-// AllPacers gives the first pacer of each group of each region.
+// AllPacers returns the primary scheduler of each group of each region.
 func AllPacers(hosts []Host) []Host {
 	var all []Host
-	for region, there := range ByRegion(hosts) {
-		for group := range groups(hosts) {
-			all = append(all, pacersOf(there, region, group)[0])
+	for region, regionHosts := range ByRegion(hosts) {
+		for group := range groupCount(hosts) {
+			all = append(all, schedulersOf(regionHosts, region, group)[0])
 		}
 	}
 	return all
 }
 
-// strongPart is the part of the strongest host's power from which on a host counts as
+// strongFraction is the fraction of the largest CPU capacity in the fleet that makes a host
 // strong.
-const strongPart = 0.5
+const strongFraction = 0.5
 
-// FirstStrong gives the first hosts for a key, as First does, the strong ones before all
-// others: a host with a fifth of a core does its duties late while another has most of
-// its core to spare.
-func FirstStrong(hosts []Host, key string, most int) []Host {
+// FirstStrong picks hosts for a key as PickHosts does, but strong ones before all others: a
+// host with a fifth of a core does its duties late while another has most of its core to spare.
+func FirstStrong(hosts []Host, key string, limit int) []Host {
 	strongest := 0.0
 	for i := range hosts {
 		strongest = max(strongest, hosts[i].Power)
 	}
-	var strong, rest []Host
+	var strong, weak []Host
 	for i := range hosts {
-		if hosts[i].Power >= strongPart*strongest {
+		if hosts[i].Power >= strongFraction*strongest {
 			strong = append(strong, hosts[i])
 		} else {
-			rest = append(rest, hosts[i])
+			weak = append(weak, hosts[i])
 		}
 	}
-	first := First(strong, key, most)
-	return append(first, First(rest, key, most-len(first))...)
+	picked := PickHosts(strong, key, limit)
+	return append(picked, PickHosts(weak, key, limit-len(picked))...)
 }
 
-// ByRegion gives the hosts of each region.
+// ByRegion groups hosts by region.
 func ByRegion(hosts []Host) map[ident.Region][]Host {
 	regions := make(map[ident.Region][]Host)
 	for i := range hosts {
@@ -283,30 +292,31 @@
 	return regions
 }
 
-// InDataCentre gives the hosts of a data centre.
+// InDataCentre returns the hosts in a data centre.
 func InDataCentre(hosts []Host, dataCentre ident.DataCentre) []Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h Host) bool { return h.DataCentre != dataCentre })
 }
 
-// InRegion gives the hosts of a region.
+// InRegion returns the hosts in a region.
 func InRegion(hosts []Host, region ident.Region) []Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h Host) bool { return h.Region != region })
 }
 
-// First gives the first hosts for a key by rendezvous hashing, at most so many: all who
-// know the same hosts find the same ones, and where one is lost the others move up.
-func First(hosts []Host, key string, most int) []Host {
-	rest := slices.Clone(hosts)
-	var first []Host
-	for len(first) < most && len(rest) > 0 {
-		names := make([]string, 0, len(rest))
-		for i := range rest {
-			names = append(names, string(rest[i].Name))
+// PickHosts picks at most limit hosts for a key by rendezvous hashing: all callers that know
+// the same hosts pick the same ones in the same order, and if one is lost the next ones move
+// up.
+func PickHosts(hosts []Host, key string, limit int) []Host {
+	remaining := slices.Clone(hosts)
+	var picked []Host
+	for len(picked) < limit && len(remaining) > 0 {
+		names := make([]string, 0, len(remaining))
+		for i := range remaining {
+			names = append(names, string(remaining[i].Name))
 		}
-		top := ident.HostID(rendezvous.New(names, xxhash.Sum64String).Lookup(key))
-		at := slices.IndexFunc(rest, func(h Host) bool { return h.Name == top })
-		first = append(first, rest[at])
-		rest = slices.Delete(rest, at, at+1)
+		topName := ident.HostID(rendezvous.New(names, xxhash.Sum64String).Lookup(key))
+		index := slices.IndexFunc(remaining, func(h Host) bool { return h.Name == topName })
+		picked = append(picked, remaining[index])
+		remaining = slices.Delete(remaining, index, index+1)
 	}
-	return first
+	return picked
 }
--- a/internal/control/pacing/pacing_test.go
+++ b/internal/control/pacing/pacing_test.go
@@ -14,165 +14,167 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// engine reads all prompts that have come since its last step in the next one, as
-// engines do that read prompts between the steps of running answers.
-func longestPause(sent []time.Time, reading []time.Duration) time.Duration {
+// longestPause returns the longest pause between two events of a stream at an engine that
+// prefills all prompts that have arrived since its last step in the next one.
+func longestPause(sentAt []time.Time, prefillTimes []time.Duration) time.Duration {
 	const step = 11 * time.Millisecond
-	now, next := start, 0
-	var last, longest time.Duration
-	for next < len(sent) {
+	now, nextIndex := start, 0
+	var lastLength, longest time.Duration
+	for nextIndex < len(sentAt) {
 		length := step
-		for next < len(sent) && !sent[next].After(now) {
-			length += reading[next]
-			next++
+		for nextIndex < len(sentAt) && !sentAt[nextIndex].After(now) {
+			length += prefillTimes[nextIndex]
+			nextIndex++
 		}
-		longest = max(longest, last+length)
-		last = length
+		longest = max(longest, lastLength+length)
+		lastLength = length
 		now = now.Add(length)
 	}
 	return longest
 }
 
-// Prompts of up to 0.21 s come to one engine from many hosts, at half of what it can
-// read. Sent as they come, some meet, and all streams there pause for over 0.3 s
-// between two events. Paced, none does. (Same arrivals: 0.5 s and more before.)
-func TestPacedPromptsDontMeet(t *testing.T) {
+// Prompts of up to 0.21 s arrive at one engine from many hosts, at half of its prefill
+// capacity. Sent on arrival, some overlap, and all streams there pause for over 0.3 s between
+// two events (0.5 s and more with these arrivals). With reserved prefill times no pause is that
+// long.
+func TestReservedPrefillsDoNotOverlap(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
-	var clocks Clocks
-	var arrived, paced []time.Time
-	var readings []time.Duration
+	var backlogs PrefillBacklogs
+	var arrived, reserved []time.Time
+	var prefillTimes []time.Duration
 	now := start
 	for range 400 {
 		now = now.Add(time.Duration(random.ExpFloat64() * float64(150*time.Millisecond)))
-		reading := min(time.Duration(random.ExpFloat64()*float64(60*time.Millisecond)), 210*time.Millisecond)
+		prefillTime := min(time.Duration(random.ExpFloat64()*float64(60*time.Millisecond)), 210*time.Millisecond)
 		arrived = append(arrived, now)
-		readings = append(readings, reading)
-		paced = append(paced, clocks.Reserve(now, &Prompt{Candidates: engines(reading, "e")}).At)
+		prefillTimes = append(prefillTimes, prefillTime)
+		reserved = append(reserved, backlogs.Reserve(now, &Prompt{Candidates: equalCandidates(prefillTime, "e")}).At)
 	}
-	require.Greater(t, longestPause(arrived, readings), 300*time.Millisecond)
-	require.Less(t, longestPause(paced, readings), 300*time.Millisecond)
+	require.Greater(t, longestPause(arrived, prefillTimes), 300*time.Millisecond)
+	require.Less(t, longestPause(reserved, prefillTimes), 300*time.Millisecond)
 }
 
-// More is asked of an engine than it can read. Nobody is held back for longer than
-// the bound: the requests would be late anyway, and later for each that waits.
-func TestNobodyWaitsLongerThanTheBound(t *testing.T) {
-	var clocks Clocks
+// An engine is asked for more than it can prefill. No prompt is held back for longer than the
+// bound: it would be late anyway, and later the longer it is held.
+func TestSendDelayIsBounded(t *testing.T) {
+	var backlogs PrefillBacklogs
 	for range 100 {
-		slot := clocks.Reserve(start, &Prompt{Candidates: engines(100*time.Millisecond, "e")})
-		require.LessOrEqual(t, slot.At.Sub(start), mostWait)
+		reservation := backlogs.Reserve(start, &Prompt{Candidates: equalCandidates(100*time.Millisecond, "e")})
+		require.LessOrEqual(t, reservation.At.Sub(start), maxSendDelay)
 	}
-	require.Equal(t, start, clocks.Reserve(start, &Prompt{Candidates: engines(time.Second, "other")}).At)
-	require.Equal(t, start.Add(time.Minute), clocks.Reserve(start.Add(time.Minute), &Prompt{Candidates: engines(time.Second, "e")}).At)
+	require.Equal(t, start, backlogs.Reserve(start, &Prompt{Candidates: equalCandidates(time.Second, "other")}).At)
+	require.Equal(t, start.Add(time.Minute), backlogs.Reserve(start.Add(time.Minute), &Prompt{Candidates: equalCandidates(time.Second, "e")}).At)
 }
 
-// engines are candidates that are all alike.
-func engines(reading time.Duration, names ...ident.ServerName) []Candidate {
-	var all []Candidate
+// equalCandidates returns candidates that differ in nothing but their names.
+func equalCandidates(prefillTime time.Duration, names ...ident.ServerName) []Candidate {
+	var candidates []Candidate
 	for _, name := range names {
-		all = append(all, Candidate{
+		candidates = append(candidates, Candidate{
 			Server:  name,
-			Reading: reading,
+			Reading: prefillTime,
 		})
 	}
-	return all
+	return candidates
 }
 
-// 76 hosts send prompts of one model to its four engines, and each host knows what it
-// has sent itself. By the hosts' own choice one engine got 62 in two seconds and another
-// 10, and the streams of the first paused for too long. The pacer has to even them out,
-// at a load of four fifths as well as where more comes than the engines can read.
-func TestThePacerEvensOutEngines(t *testing.T) {
-	for _, every := range []time.Duration{26 * time.Millisecond, 10 * time.Millisecond} {
+// 76 hosts send prompts of one model to its four engines, and each host knows only what it has
+// sent itself. If hosts choose, one engine may get 62 prompts in two seconds and another 10,
+// and the streams of the first pause for too long. Reserve has to balance them, at four fifths
+// of the capacity as well as under overload.
+func TestReserveBalancesEngines(t *testing.T) {
+	for _, interval := range []time.Duration{26 * time.Millisecond, 10 * time.Millisecond} {
 		random := rand.New(rand.NewPCG(3, 4))
-		var clocks Clocks
+		var backlogs PrefillBacklogs
 		work := make(map[ident.ServerName]time.Duration)
 		var total time.Duration
 		now := start
 		for range 400 {
-			now = now.Add(time.Duration(random.ExpFloat64() * float64(every)))
-			reading := min(time.Duration(random.ExpFloat64()*float64(60*time.Millisecond)), 210*time.Millisecond)
-			slot := clocks.Reserve(now, &Prompt{Candidates: engines(reading, "a", "b", "c", "d")})
-			work[slot.Server] += reading
-			total += reading
+			now = now.Add(time.Duration(random.ExpFloat64() * float64(interval)))
+			prefillTime := min(time.Duration(random.ExpFloat64()*float64(60*time.Millisecond)), 210*time.Millisecond)
+			reservation := backlogs.Reserve(now, &Prompt{Candidates: equalCandidates(prefillTime, "a", "b", "c", "d")})
+			work[reservation.Server] += prefillTime
+			total += prefillTime
 		}
 		for name, part := range work {
-			require.InDelta(t, 0.25, part.Seconds()/total.Seconds(), 0.05, "engine %s at a prompt every %s", name, every)
+			require.InDelta(t, 0.25, part.Seconds()/total.Seconds(), 0.05, "engine %s at a prompt every %s", name, interval)
 		}
 	}
 }
 
-// The other region's engines are 0.12 s away. Prompts go there only where the near
-// one has more than that before it, and what isn't booked there leaves no trace.
-func TestNothingIsBookedOverTheBound(t *testing.T) {
-	var clocks Clocks
-	near := engines(50*time.Millisecond, "near")
+// The other region's engines are 0.12 s away. A prompt goes there only if the near engine has a
+// larger backlog than that, and a reservation that is refused leaves no backlog.
+func TestReserveRefusesAboveMaxCost(t *testing.T) {
+	var backlogs PrefillBacklogs
+	near := equalCandidates(50*time.Millisecond, "near")
 	for range 3 {
-		require.True(t, clocks.Reserve(start, &Prompt{Candidates: near}).Booked)
+		require.True(t, backlogs.Reserve(start, &Prompt{Candidates: near}).Booked)
 	}
-	const way = 120 * time.Millisecond
+	const networkDelay = 120 * time.Millisecond
 	for range 3 {
-		slot := clocks.Reserve(start, &Prompt{
+		reservation := backlogs.Reserve(start, &Prompt{
 			Candidates: near,
-			Most:       way + near[0].Reading,
+			Most:       networkDelay + near[0].Reading,
 		})
-		require.False(t, slot.Booked)
-		require.Equal(t, 225*time.Millisecond+near[0].Reading, slot.Cost)
+		require.False(t, reservation.Booked)
+		require.Equal(t, 225*time.Millisecond+near[0].Reading, reservation.Cost)
 	}
 }
 
-// More comes for an engine than it can do. What waited there waited until its callers
-// left, after 4 s and more, and the engine went on with it for another second. Beyond the
-// limit nothing is booked, and as much as the engine has done is taken on again.
-func TestNothingIsBookedBeyondTheLimit(t *testing.T) {
+// An engine is asked for more than it can do. If all of it is booked, prompts wait there until
+// their callers leave, after 4 s and more, and the engine works on them for another second.
+// Beyond the limit nothing is booked, and as the engine works off its backlog, as much new work
+// is booked.
+func TestReserveRefusesAboveMaxBacklog(t *testing.T) {
 	const limit = 1500 * time.Millisecond
-	var clocks Clocks
+	var backlogs PrefillBacklogs
 	prompt := &Prompt{
-		Candidates: engines(100*time.Millisecond, "e"),
-		Limit:      limit,
+		Candidates: equalCandidates(100*time.Millisecond, "e"),
+		MaxBacklog: limit,
 	}
-	booked := func(now time.Time) int {
+	countBooked := func(now time.Time) int {
 		count := 0
 		for range 100 {
-			slot := clocks.Reserve(now, prompt)
-			if slot.Booked {
+			reservation := backlogs.Reserve(now, prompt)
+			if reservation.Booked {
 				count++
 				continue
 			}
-			require.Greater(t, slot.Ahead, limit)
+			require.Greater(t, reservation.Ahead, limit)
 		}
 		return count
 	}
-	require.InDelta(t, 15, booked(start), 1)
-	require.InDelta(t, 10, booked(start.Add(time.Second)), 1)
+	require.InDelta(t, 15, countBooked(start), 1)
+	require.InDelta(t, 10, countBooked(start.Add(time.Second)), 1)
 }
 
-// All hosts have to find the same pacers whatever the order in which they know one
-// another, in the engines' region where there is a host; where the first one is lost,
-// all have to go to the same second one.
-func TestAllHostsFindTheSamePacers(t *testing.T) {
+// All hosts have to pick the same schedulers whatever the order of their host lists, in the
+// engines' region if it has a host; if the first one is lost, all have to pick the same second
+// one.
+func TestAllHostsPickTheSameSchedulers(t *testing.T) {
 	hosts := []Host{
 		{Name: "a", Region: "north"},
 		{Name: "b", Region: "north"},
 		{Name: "c", Region: "south"},
 		{Name: "d", Region: "north"},
 	}
-	pacers := Pacers(hosts, "m", "north")
-	require.Len(t, pacers, Ranks)
-	for _, pacer := range pacers {
-		require.Equal(t, ident.Region("north"), pacer.Region)
+	schedulers := Pacers(hosts, "m", "north")
+	require.Len(t, schedulers, SchedulersPerGroup)
+	for _, scheduler := range schedulers {
+		require.Equal(t, ident.Region("north"), scheduler.Region)
 	}
 	reversed := []Host{hosts[3], hosts[2], hosts[1], hosts[0]}
-	require.Equal(t, pacers, Pacers(reversed, "m", "north"))
-	rest := slices.DeleteFunc(slices.Clone(hosts), func(h Host) bool { return h.Name == pacers[0].Name })
-	require.Equal(t, pacers[1], Pacers(rest, "m", "north")[0])
+	require.Equal(t, schedulers, Pacers(reversed, "m", "north"))
+	remaining := slices.DeleteFunc(slices.Clone(hosts), func(h Host) bool { return h.Name == schedulers[0].Name })
+	require.Equal(t, schedulers[1], Pacers(remaining, "m", "north")[0])
 	require.Equal(t, ident.HostID("c"), Pacers(hosts, "m", "south")[0].Name)
 	require.NotEmpty(t, Pacers(hosts, "m", "west"))
 	require.Empty(t, Pacers(nil, "m", "west"))
 }
 
-// One pacer serves some hundreds of hosts, so that it counts all places of an engine. In a
-// larger fleet the models are dealt out to several.
-func TestALargeFleetHasSeveralPacers(t *testing.T) {
+// One scheduler serves some hundreds of hosts, so that it counts all slots of an engine. In a
+// larger fleet the models are divided among several.
+func TestLargeFleetHasSeveralSchedulers(t *testing.T) {
 	count := func(size int) int {
 		var hosts []Host
 		for i := range size {
@@ -181,38 +183,38 @@
 				Region: "north",
 			})
 		}
-		pacers := make(map[ident.HostID]bool)
+		schedulers := make(map[ident.HostID]bool)
 		for i := range 200 {
-			pacers[Pacers(hosts, ident.ModelName("m"+strconv.Itoa(i)), "north")[0].Name] = true
+			schedulers[Pacers(hosts, ident.ModelName("m"+strconv.Itoa(i)), "north")[0].Name] = true
 		}
-		return len(pacers)
+		return len(schedulers)
 	}
 	require.Equal(t, 1, count(76))
 	require.Equal(t, 1, count(370))
 	require.Equal(t, 3, count(1000))
 }
 
-// Of 49 hosts of a data centre three have four times the processor of the others. They do
-// what few have to do; where there are none left, others stand in.
-func TestStrongHostsComeFirst(t *testing.T) {
+// Of 49 hosts of a data centre three have four times the CPU capacity of the others. They are
+// picked first for duties of a few hosts; if more are needed, others are picked as well.
+func TestHostsWithMostCPUCapacityArePickedFirst(t *testing.T) {
 	var hosts []Host
 	for i := range 49 {
-		power := 0.2
+		cores := 0.2
 		if i%20 == 3 {
-			power = 0.8
+			cores = 0.8
 		}
 		hosts = append(hosts, Host{
 			Name:  ident.HostID("h" + strconv.Itoa(i)),
-			Power: power,
+			Power: cores,
 		})
 	}
 	for _, key := range []string{"a", "b", "c"} {
-		first := FirstStrong(hosts, key, 4)
-		require.Len(t, first, 4)
-		for _, host := range first[:3] {
+		picked := FirstStrong(hosts, key, 4)
+		require.Len(t, picked, 4)
+		for _, host := range picked[:3] {
 			require.Equal(t, 0.8, host.Power)
 		}
-		require.Equal(t, 0.2, first[3].Power)
+		require.Equal(t, 0.2, picked[3].Power)
 	}
 	require.Len(t, FirstStrong(hosts[:1], "a", 4), 1)
 }
--- a/internal/control/pacing/queue.go
+++ b/internal/control/pacing/queue.go
@@ -9,54 +9,56 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Queue holds the prompts of a region's engines until an engine has a place free and
-// time to read, and then lets the most urgent one go. The zero value works; it is safe
-// for use by many goroutines.
+// Queue holds the prompts for a region's engines until an engine has a free slot and time for
+// the prefill, and grants the most urgent prompt first. The zero value is ready to use; it is
+// safe for concurrent use by many goroutines.
 //
-// An engine has places for so many answers, and works off what is over them in the order
-// of arrival: prompts that wait there for their places begin when their callers are about
-// to leave, while a replica that has just been loaded is idle. What waits here goes to whichever engine is free first, and the order is not
-// that of arrival: who can still be in time goes before who can't. Where more comes than
-// can be done, the first come first served would make everybody late.
+// An engine serves the prompts beyond its slots in the order of arrival: prompts that wait
+// there start when their callers are about to leave, while a replica that has just been loaded
+// is idle. A prompt in this queue goes to whichever engine is free first, and not in the order
+// of arrival: prompts that can still be in time go before those that can't. Under overload,
+// first come, first served would make all prompts late.
 type Queue struct {
-	mu      sync.Mutex
-	clocks  Clocks
-	places  map[ident.ServerName]*places
-	waiting []*Waiter
-	// length is the smoothed time for which a prompt keeps its place.
-	length time.Duration
-	swept  time.Time
+	mu       sync.Mutex
+	backlogs PrefillBacklogs
+	usage    map[ident.ServerName]*slotUsage
+	waiting  []*Waiter
+	// slotTime is the smoothed time for which a prompt occupies its slot.
+	slotTime time.Duration
+	sweptAt  time.Time
 }
 
 const (
-	// lead is how far ahead of its reading a prompt is let go: the way to the engine and
-	// the reading of a prompt. What is let go later can't be overtaken by it.
-	lead = 80 * time.Millisecond
-	// margin is what a prompt that is let go now may still lose before its first event:
-	// the wait for a place, lead, and a step. Without it a queue that is never empty lets
-	// each prompt go at the last moment, and all come late by a little.
-	margin = 150 * time.Millisecond
-	// startLength is for how long a place is taken until it is measured; lengthWeight the
-	// part of each new measure.
-	startLength  = 1500 * time.Millisecond
-	lengthWeight = 0.02
+	// sendLead is how long before the start of its prefill a prompt is sent: the network delay
+	// to the engine and the prefill of one prompt. Prompts that are granted later can't
+	// overtake it.
+	sendLead = 80 * time.Millisecond
+	// lateMargin is the delay that a granted prompt may still suffer before its first event:
+	// the wait for a slot, sendLead, and a decoding step. Without it a queue that is never
+	// empty grants each prompt at the last moment, and all are late by a little.
+	lateMargin = 150 * time.Millisecond
+	// initialSlotTime is used for slotTime until it is measured; slotTimeWeight is the weight
+	// of each new measurement.
+	initialSlotTime = 1500 * time.Millisecond
+	slotTimeWeight  = 0.02
 )
 
-// PerRunning is what each running answer adds to the time to the first event: its part of
-// the steps that the prompt is read between.
+// PerRunning is what each running answer adds to the time to the first event: its share of the
+// decoding steps between which the prompt is prefilled.
 const PerRunning = 700 * time.Microsecond
 
 // Waiter is a prompt in the queue.
 type Waiter struct {
-	// Granted brings the slot.
+	// Granted receives the slot.
 	Granted chan Slot
 	prompt  *Prompt
-	least   time.Duration
+	// minCost is the cost of the cheapest candidate without a backlog.
+	minCost time.Duration
 }
 
-// Ask gives a slot at once, or a waiter where no engine is free. It gives neither, but
-// what an engine would cost, where the prompt can't go within its bounds: the slot is
-// Full where no engine can begin it before it gives up.
+// Ask returns a slot at once, or a waiter if no engine is free. If the prompt can't be sent
+// within its bounds, it returns neither, but an estimate that isn't booked; it is Full if no
+// engine is expected to start the prompt before it is abandoned.
 func (q *Queue) Ask(now time.Time, prompt *Prompt) (Slot, *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -64,106 +66,107 @@
 	waiter := &Waiter{
 		Granted: make(chan Slot, 1),
 		prompt:  prompt,
-		least:   LeastCost(prompt.Candidates),
+		minCost: LeastCost(prompt.Candidates),
 	}
-	if !q.overtaken(now, waiter) {
-		if slot, found := q.free(now, prompt); found && (prompt.Most == 0 || slot.Cost <= prompt.Most) {
-			q.book(now, prompt, &slot)
-			return slot, nil
+	if !q.hasPredecessor(now, waiter) {
+		if reservation, found := q.findFree(now, prompt); found && (prompt.Most == 0 || reservation.Cost <= prompt.Most) {
+			q.reserve(now, prompt, &reservation)
+			return reservation, nil
 		}
 	}
-	slot := q.expected(now, waiter)
+	reservation := q.estimate(now, waiter)
 	if prompt.Most > 0 || !prompt.Holds {
-		return slot, nil
+		return reservation, nil
 	}
-	if !prompt.GiveUp.IsZero() && now.Add(slot.Ahead).After(prompt.GiveUp) {
-		slot.Full = true
-		return slot, nil
+	if !prompt.GiveUp.IsZero() && now.Add(reservation.Ahead).After(prompt.GiveUp) {
+		reservation.Full = true
+		return reservation, nil
 	}
-	q.add(waiter)
-	return slot, waiter
+	q.enqueue(waiter)
+	return reservation, waiter
 }
 
-// add takes a waiter in, and lists it at each engine that it may have.
-func (q *Queue) add(waiter *Waiter) {
+// enqueue adds a waiter to the queue and to the list of each of its candidates.
+func (q *Queue) enqueue(waiter *Waiter) {
 	q.waiting = append(q.waiting, waiter)
 	for i := range waiter.prompt.Candidates {
-		p := q.at(waiter.prompt.Candidates[i].Server)
-		p.waiters = append(p.waiters, waiter)
+		usage := q.usageOf(waiter.prompt.Candidates[i].Server)
+		usage.waiters = append(usage.waiters, waiter)
 	}
 }
 
-// unlist takes a waiter off the engines' lists.
-func (q *Queue) unlist(waiter *Waiter) {
+// removeFromCandidates removes a waiter from the lists of its candidates.
+func (q *Queue) removeFromCandidates(waiter *Waiter) {
 	for i := range waiter.prompt.Candidates {
-		p := q.at(waiter.prompt.Candidates[i].Server)
-		p.waiters = slices.DeleteFunc(p.waiters, func(w *Waiter) bool { return w == waiter })
+		usage := q.usageOf(waiter.prompt.Candidates[i].Server)
+		usage.waiters = slices.DeleteFunc(usage.waiters, func(w *Waiter) bool { return w == waiter })
 	}
 }
 
-// Leave takes a waiter out. A slot that it was granted meanwhile stays its own.
+// Leave removes a waiter. A slot that it has been granted meanwhile stays booked.
 func (q *Queue) Leave(waiter *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *Waiter) bool { return w == waiter })
-	q.unlist(waiter)
+	q.removeFromCandidates(waiter)
 }
 
-// Ended tells that a prompt keeps its place no longer.
+// Ended frees the slot of a prompt, and grants it to the next waiter.
 func (q *Queue) Ended(now time.Time, server ident.ServerName, ticket Ticket) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if sent, was := q.at(server).end(now, ticket); was {
-		q.length = cmp.Or(q.length, startLength)
-		q.length += time.Duration(float64(now.Sub(sent)-q.length) * lengthWeight)
+	if sentAt, wasRunning := q.usageOf(server).end(now, ticket); wasRunning {
+		q.slotTime = cmp.Or(q.slotTime, initialSlotTime)
+		q.slotTime += time.Duration(float64(now.Sub(sentAt)-q.slotTime) * slotTimeWeight)
 	}
-	q.grant(now)
+	q.grantFree(now)
 }
 
-// Heard takes in what engines say of their load.
+// Heard stores the loads that engines report, and grants the slots that are free by them.
 func (q *Queue) Heard(now time.Time, loads []Load) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, one := range loads {
-		q.at(one.Server).hear(now, one.Load)
+	for _, load := range loads {
+		q.usageOf(load.Server).setReported(now, load.Load)
 	}
-	q.grant(now)
+	q.grantFree(now)
 }
 
-// Waiting counts the prompts in the queue.
+// Waiting returns the number of prompts in the queue.
 func (q *Queue) Waiting() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting)
 }
 
-// Grant lets go what an engine is free for by now.
+// Grant grants slots to the waiters for which an engine has become free.
 func (q *Queue) Grant(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.grant(now)
+	q.grantFree(now)
 }
 
-func (q *Queue) grant(now time.Time) {
+func (q *Queue) grantFree(now time.Time) {
 	if len(q.waiting) == 0 {
 		return
 	}
 	slices.SortStableFunc(q.waiting, func(a, b *Waiter) int { return a.compare(now, b) })
 	q.waiting = slices.DeleteFunc(q.waiting, func(w *Waiter) bool {
-		slot, found := q.free(now, w.prompt)
+		reservation, found := q.findFree(now, w.prompt)
 		if found {
-			q.book(now, w.prompt, &slot)
-			q.unlist(w)
-			w.Granted <- slot
+			q.reserve(now, w.prompt, &reservation)
+			q.removeFromCandidates(w)
+			w.Granted <- reservation
 		}
 		return found
 	})
 }
 
-// compare orders waiters by urgency: the more urgent kind first. Of one kind, those that
-// can still be in time go before those that can't, and whose time ends first goes first.
+// compare orders waiters by urgency: by priority first. Within a priority, waiters that can
+// still be in time go first, ordered by objective; late ones follow, ordered by when they are
+// abandoned.
 func (w *Waiter) compare(now time.Time, other *Waiter) int {
-	late, otherLate := w.late(now), other.late(now)
+	late, otherLate := w.isLate(now), other.isLate(now)
 	switch {
 	case w.prompt.Priority != other.prompt.Priority:
 		return cmp.Compare(w.prompt.Priority, other.prompt.Priority)
@@ -178,21 +181,21 @@
 	}
 }
 
-// late tells that a prompt can hardly be in time any more.
-func (w *Waiter) late(now time.Time) bool {
-	return now.Add(w.least + margin).After(w.prompt.Objective)
+// isLate returns whether a prompt would probably miss its objective if it were granted now.
+func (w *Waiter) isLate(now time.Time) bool {
+	return now.Add(w.minCost + lateMargin).After(w.prompt.Objective)
 }
 
-// most is how many prompts are sent to an engine with so many places.
-func most(places int) int {
-	return places + places/placesPerSpare
+// maxInFlight returns the number of prompts to keep at an engine with a number of slots.
+func maxInFlight(slots int) int {
+	return slots + slots/slotsPerExtraPrompt
 }
 
-// overtaken tells that somebody waits who goes before a newcomer, for an engine that the
-// newcomer may have.
-func (q *Queue) overtaken(now time.Time, newcomer *Waiter) bool {
+// hasPredecessor returns whether a waiter goes before a newcomer at an engine that is a
+// candidate of both.
+func (q *Queue) hasPredecessor(now time.Time, newcomer *Waiter) bool {
 	for i := range newcomer.prompt.Candidates {
-		if slices.ContainsFunc(q.at(newcomer.prompt.Candidates[i].Server).waiters, func(w *Waiter) bool {
+		if slices.ContainsFunc(q.usageOf(newcomer.prompt.Candidates[i].Server).waiters, func(w *Waiter) bool {
 			return w.compare(now, newcomer) <= 0
 		}) {
 			return true
@@ -201,12 +204,12 @@
 	return false
 }
 
-// before counts those who wait and go before a newcomer, for an engine that the newcomer
-// may have.
-func (q *Queue) before(now time.Time, newcomer *Waiter) int {
+// countPredecessors counts the waiters that go before a newcomer at engines that are candidates
+// of both.
+func (q *Queue) countPredecessors(now time.Time, newcomer *Waiter) int {
 	seen := make(map[*Waiter]bool)
 	for i := range newcomer.prompt.Candidates {
-		for _, w := range q.at(newcomer.prompt.Candidates[i].Server).waiters {
+		for _, w := range q.usageOf(newcomer.prompt.Candidates[i].Server).waiters {
 			if !seen[w] && w.compare(now, newcomer) <= 0 {
 				seen[w] = true
 			}
@@ -215,50 +218,50 @@
 	return len(seen)
 }
 
-// free finds the cheapest engine that can take a prompt now.
-func (q *Queue) free(now time.Time, prompt *Prompt) (Slot, bool) {
+// findFree finds the cheapest engine that can accept a prompt now.
+func (q *Queue) findFree(now time.Time, prompt *Prompt) (Slot, bool) {
 	var best Slot
 	found := false
 	for i := range prompt.Candidates {
-		one := &prompt.Candidates[i]
-		ahead := q.clocks.ahead(now, one.Server)
-		taken := q.at(one.Server).taken(now)
-		if ahead > lead || one.Places > 0 && taken >= most(one.Places) {
+		candidate := &prompt.Candidates[i]
+		backlog := q.backlogs.backlog(now, candidate.Server)
+		inUse := q.usageOf(candidate.Server).inUse(now)
+		if backlog > sendLead || candidate.Places > 0 && inUse >= maxInFlight(candidate.Places) {
 			continue
 		}
-		cost := ahead + one.Reading + one.Beside + time.Duration(taken)*PerRunning
+		cost := backlog + candidate.Reading + candidate.Beside + time.Duration(inUse)*PerRunning
 		if !found || cost < best.Cost {
 			best, found = Slot{
-				Server: one.Server,
+				Server: candidate.Server,
 				Index:  i,
-				At:     now.Add(ahead),
+				At:     now.Add(backlog),
 				Cost:   cost,
-				Ahead:  ahead,
+				Ahead:  backlog,
 			}, true
 		}
 	}
 	return best, found
 }
 
-func (q *Queue) book(now time.Time, prompt *Prompt, slot *Slot) {
-	slot.Booked = true
-	q.clocks.book(now, prompt, slot)
-	q.at(slot.Server).send(now, prompt.Ticket)
+func (q *Queue) reserve(now time.Time, prompt *Prompt, reservation *Slot) {
+	reservation.Booked = true
+	q.backlogs.add(now, prompt, reservation)
+	q.usageOf(reservation.Server).start(now, prompt.Ticket)
 }
 
-// expected estimates when an engine is free for a newcomer: after what engines have to
-// read, and after as many places have come free as there are waiters that go before it.
-func (q *Queue) expected(now time.Time, newcomer *Waiter) Slot {
-	best := q.clocks.cheapest(now, newcomer.prompt.Candidates)
-	places, full := 0, true
+// estimate returns the engine that is likely to be free first for a newcomer, and when: after
+// the backlogs, and after a slot has become free for each waiter that goes before it.
+func (q *Queue) estimate(now time.Time, newcomer *Waiter) Slot {
+	best := q.backlogs.cheapest(now, newcomer.prompt.Candidates)
+	slots, allFull := 0, true
 	for i := range newcomer.prompt.Candidates {
-		one := &newcomer.prompt.Candidates[i]
-		places += one.Places
-		full = full && one.Places > 0 && q.at(one.Server).taken(now) >= most(one.Places)
+		candidate := &newcomer.prompt.Candidates[i]
+		slots += candidate.Places
+		allFull = allFull && candidate.Places > 0 && q.usageOf(candidate.Server).inUse(now) >= maxInFlight(candidate.Places)
 	}
-	if full && places > 0 {
-		length := cmp.Or(q.length, startLength)
-		wait := length * time.Duration(1+q.before(now, newcomer)) / time.Duration(places)
+	if allFull && slots > 0 {
+		slotTime := cmp.Or(q.slotTime, initialSlotTime)
+		wait := slotTime * time.Duration(1+q.countPredecessors(now, newcomer)) / time.Duration(slots)
 		if wait > best.Ahead {
 			best.Cost += wait - best.Ahead
 			best.Ahead = wait
@@ -268,8 +271,8 @@
 	return best
 }
 
-// LeastCost is what the cheapest of some engines, of which there must be one, costs if
-// nothing is before it.
+// LeastCost returns the cost of the cheapest candidate, of which there must be one, without any
+// backlog.
 func LeastCost(candidates []Candidate) time.Duration {
 	least := candidates[0].Reading + candidates[0].Beside
 	for i := range candidates {
@@ -278,27 +281,28 @@
 	return least
 }
 
-func (q *Queue) at(server ident.ServerName) *places {
-	if q.places == nil {
-		q.places = make(map[ident.ServerName]*places)
+// usageOf returns the slot usage of an engine, a new one if it is not known.
+func (q *Queue) usageOf(server ident.ServerName) *slotUsage {
+	if q.usage == nil {
+		q.usage = make(map[ident.ServerName]*slotUsage)
 	}
-	p, known := q.places[server]
+	usage, known := q.usage[server]
 	if !known {
-		p = &places{}
-		q.places[server] = p
+		usage = &slotUsage{}
+		q.usage[server] = usage
 	}
-	return p
+	return usage
 }
 
 func (q *Queue) sweep(now time.Time) {
-	q.clocks.forget(now)
-	if now.Sub(q.swept) < forgetAfter {
+	q.backlogs.sweep(now)
+	if now.Sub(q.sweptAt) < idleRetention {
 		return
 	}
-	q.swept = now
-	for server, p := range q.places {
-		if p.forgettable(now) {
-			delete(q.places, server)
+	q.sweptAt = now
+	for server, usage := range q.usage {
+		if usage.isIdle(now) {
+			delete(q.usage, server)
 		}
 	}
 }
