--- a/internal/control/retries/lend.go
+++ b/internal/control/retries/lend.go
@@ -15,53 +15,64 @@
 // no more in any window than it was given in it. So the sum over all hosts stays what it
 // was, and a gift or a loan that gets lost makes it less.
 
-// kept is how many retries a host keeps for itself: a loan takes a word to the lender.
-const kept = 2
+// In a large fleet a host's own share is a few retries in a window, and failing servers hit all
+// hosts at random: one has spent its share when others have all of theirs left. So hosts
+// transfer the tokens that they can spare to a host near by, the lender, who lends them one by
+// one to hosts that need them.
+//
+// A transferred token counts as spent at its host from the instant of the transfer. The lender
+// lends no more tokens in any window than it has received in it. So the sum over all hosts
+// stays the same, and a transfer or loan that is lost only reduces it.
+
+// ownReserve is the number of tokens that a host keeps for itself: a loan takes a message to
+// the lender.
+const ownReserve = 2
 
-// Gift is retries that a host can spare.
+// Gift is a number of tokens that a host transfers to the lender.
 type Gift struct {
 	Service ident.ServiceName
 	Retries int
 }
 
-// Spare gives away what this host can spare: it is spent for this host.
+// Spare takes the tokens that this host can spare out of its budget, for transfer to the
+// lender.
 func (b *Budget) Spare(now time.Time) []Gift {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var gifts []Gift
+	var transfers []Gift
 	for service := range b.services {
-		c := b.counts(now, service)
-		spare := int(b.left(now, c)) - kept
-		if spare <= 0 {
+		c := b.countsAt(now, service)
+		surplus := int(b.remaining(now, c)) - ownReserve
+		if surplus <= 0 {
 			continue
 		}
-		c.spent[c.at%buckets] += spare
-		gifts = append(gifts, Gift{
+		c.spent[c.newest%bucketsPerWindow] += surplus
+		transfers = append(transfers, Gift{
 			Service: service,
-			Retries: spare,
+			Retries: surplus,
 		})
 	}
-	return gifts
+	return transfers
 }
 
-// Receive takes in what another host has given.
-func (b *Budget) Receive(now time.Time, gifts []Gift) {
+// Receive adds the tokens that another host has transferred.
+func (b *Budget) Receive(now time.Time, transfers []Gift) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, gift := range gifts {
-		c := b.counts(now, gift.Service)
-		c.given[c.at%buckets] += max(gift.Retries, 0)
+	for _, transfer := range transfers {
+		c := b.countsAt(now, transfer.Service)
+		c.received[c.newest%bucketsPerWindow] += max(transfer.Retries, 0)
 	}
 }
 
-// Lend gives out one retry of those that this host was given, if any is left.
+// Lend lends one of the received tokens, and returns whether one was left.
 func (b *Budget) Lend(now time.Time, service ident.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(now, service)
-	if c.lent.sum() >= c.given.sum() {
+	c := b.countsAt(now, service)
+	if c.lent.sum() >= c.received.sum() {
 		return false
 	}
-	c.lent[c.at%buckets]++
+	c.lent[c.newest%bucketsPerWindow]++
 	return true
 }
--- a/internal/control/retries/lend_test.go
+++ b/internal/control/retries/lend_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// Hosts give what they can spare to one of them, who lends it, and each retries as often
-// as it may, in any pattern; gifts get lost. In no window may all of them together spend
-// more than the whole budget: lending moves retries, and makes none.
-func TestLendingMakesNoRetries(t *testing.T) {
+// Hosts transfer the tokens that they can spare to one of them, which lends them, and each host
+// retries as often as it may, in any pattern; some transfers are lost. In no window may all of
+// them together spend more than the whole budget: lending creates no tokens.
+func TestLendingStaysWithinBudget(t *testing.T) {
 	options := Options{
 		Ratio:  0.2,
 		Window: 10 * time.Second,
@@ -28,8 +28,8 @@
 			budget := budgets[rapid.IntRange(0, hosts-1).Draw(t, "host")]
 			budget.Arrived(now, "notes")
 			arrived = append(arrived, now)
-			if gifts := budget.Spare(now); rapid.IntRange(0, 5).Draw(t, "lost") > 0 {
-				lender.Receive(now, gifts)
+			if transfers := budget.Spare(now); rapid.IntRange(0, 5).Draw(t, "lost") > 0 {
+				lender.Receive(now, transfers)
 			}
 			for range rapid.IntRange(0, 12).Draw(t, "wanted") {
 				if budget.Take(now, "notes") || lender.Lend(now, "notes") {
@@ -37,14 +37,14 @@
 				}
 			}
 		}
-		requireWithin(t, options, arrived, spent)
+		requireWithinBudget(t, options, arrived, spent)
 	})
 }
 
-// 50 hosts have 34 requests each in ten seconds, and servers fail 60 requests of one of
-// them within a second. By its own part it may send 6 of them again; with what the others
-// spare, all.
-func TestOneHostUsesWhatOthersHaveLeft(t *testing.T) {
+// 50 hosts have received 34 requests each in ten seconds, and servers fail 60 requests of one
+// of them within a second. With its own share it may retry 6 of them; with the tokens that the
+// others can spare, all.
+func TestHostBorrowsSurplusOfOthers(t *testing.T) {
 	options := Options{
 		Ratio:  0.2,
 		Window: 10 * time.Second,
@@ -61,18 +61,18 @@
 		}
 		budgets = append(budgets, budget)
 	}
-	own, all := 0, 0
+	ownRetries, allRetries := 0, 0
 	for range failed {
 		if budgets[1].Take(now, "notes") {
-			own++
+			ownRetries++
 		}
 	}
 	for _, budget := range budgets[2:] {
 		budgets[0].Receive(now, budget.Spare(now))
 	}
-	for all = own; all < failed && budgets[0].Lend(now, "notes"); all++ {
+	for allRetries = ownRetries; allRetries < failed && budgets[0].Lend(now, "notes"); allRetries++ {
 	}
-	require.LessOrEqual(t, own, 7)
-	require.Equal(t, failed, all)
+	require.LessOrEqual(t, ownRetries, 7)
+	require.Equal(t, failed, allRetries)
 	require.True(t, budgets[2].Take(now, "notes"), "a host keeps some for itself")
 }
--- a/internal/control/retries/retries.go
+++ b/internal/control/retries/retries.go
@@ -1,10 +1,13 @@
-// Package retries keeps the budget of retries that all entry hosts share.
+// Package retries limits the retries that all entry hosts together send to a service.
 //
-// In any window of time a service may get a share of its requests again, and
-// some more. The hosts keep that without a word between them: each spends the
-// share of the requests that it has itself seen, and its own part of the rest.
-// Their sum is never over the whole budget, whoever is cut off. What a host can
-// spare it may give to others (Spare, Receive, Lend).
+// In any window a service may receive retries for a fraction of its requests, and some more
+// that don't depend on requests. The hosts keep this budget without communication: each spends
+// the fraction of the requests that it has received itself, and its own share of the rest.
+// Their sum never exceeds the whole budget, whichever hosts are partitioned. A host can
+// transfer tokens that it has left to a lender, who lends them to others (Spare, Receive,
+// Lend).
+//
+// A Budget starts no goroutines; a mutex guards it. The relay takes a token before each retry.
 //
 // # Usage
 //
@@ -16,7 +19,7 @@
 //	budget.SetHosts(7)
 //	budget.Arrived(now, "dispatch-desk")
 //	if budget.Take(now, "dispatch-desk") {
-//		// send it again
+//		// retry
 //	}
 package retries
 
@@ -27,47 +30,47 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// safety is the part of the budget that is used. What a host sends again may
-// arrive up to a second later than it counts here, in a window that the host's
-// own first sends have already left.
-const safety = 0.7
+// usableFraction is the fraction of the budget that is used. A retry may arrive up to a second
+// later than it is counted here, in a window that no longer has the host's own first sends.
+const usableFraction = 0.7
 
-// buckets is how many parts a window is counted in.
-const buckets = 20
+// bucketsPerWindow is the number of buckets in which a window is counted.
+const bucketsPerWindow = 20
 
-// Options are the bounds that the deployment sets.
+// Options are the limits that the deployment sets.
 type Options struct {
-	// Ratio is how many retries one request pays for.
+	// Ratio is the number of retries that one request allows.
 	Ratio float64
-	// Window is the span that bounds hold over.
+	// Window is the time span within which the limits hold.
 	Window time.Duration
-	// Slack is how many retries are free in a window, over all hosts.
+	// Slack is the number of further retries allowed in a window, over all hosts.
 	Slack float64
-	// Begun is when this host's process started.
+	// Begun is the time at which this host's process started.
 	Begun time.Time
 }
 
-// Budget counts requests and retries of each service. It is safe for use by many
+// Budget counts the requests and retries of each service. It is safe for concurrent use by many
 // goroutines.
 type Budget struct {
 	options  Options
 	mu       sync.Mutex
 	hosts    int
-	services map[ident.ServiceName]*counts
+	services map[ident.ServiceName]*windowCounts
 }
 
-// counts has a ring of buckets over the last window.
-type counts struct {
+// windowCounts counts one service's requests and tokens over the last window.
+type windowCounts struct {
 	requests ring
 	spent    ring
-	// given and lent are what other hosts have given this one, and what of it was lent.
-	given ring
-	lent  ring
-	at    int64 // number of the newest bucket
+	// received and lent count the tokens that other hosts have transferred to this one, and
+	// those of them that it has lent.
+	received ring
+	lent     ring
+	newest   int64 // number of the newest bucket
 }
 
-// ring counts something by buckets.
-type ring [buckets]int
+// ring counts events by bucket.
+type ring [bucketsPerWindow]int
 
 func (r *ring) sum() int {
 	sum := 0
@@ -77,75 +80,75 @@
 	return sum
 }
 
-// New gives a budget for one host, the only one until SetHosts says otherwise.
+// New returns the budget of one host, the only one until SetHosts is called.
 func New(options Options) *Budget {
 	return &Budget{
 		options:  options,
 		hosts:    1,
-		services: make(map[ident.ServiceName]*counts),
+		services: make(map[ident.ServiceName]*windowCounts),
 	}
 }
 
-// SetHosts tells how many hosts share the budget.
+// SetHosts sets the number of hosts that share the budget.
 func (b *Budget) SetHosts(hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts = max(hosts, 1)
 }
 
-// Arrived counts a client's request.
+// Arrived counts a caller's request.
 func (b *Budget) Arrived(now time.Time, service ident.ServiceName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(now, service)
-	c.requests[c.at%buckets]++
+	c := b.countsAt(now, service)
+	c.requests[c.newest%bucketsPerWindow]++
 }
 
-// Take spends one retry, or tells that none is left.
+// Take spends one token, and returns whether one was left.
 func (b *Budget) Take(now time.Time, service ident.ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(now, service)
-	if b.left(now, c) < 1 {
+	c := b.countsAt(now, service)
+	if b.remaining(now, c) < 1 {
 		return false
 	}
-	c.spent[c.at%buckets]++
+	c.spent[c.newest%bucketsPerWindow]++
 	return true
 }
 
-// left is how many retries this host has left in the window.
-func (b *Budget) left(now time.Time, c *counts) float64 {
-	return safety*(b.options.Ratio*float64(c.requests.sum())+b.slack(now)) - float64(c.spent.sum())
+// remaining returns the number of tokens that this host has left in the window.
+func (b *Budget) remaining(now time.Time, c *windowCounts) float64 {
+	return usableFraction*(b.options.Ratio*float64(c.requests.sum())+b.ownSlack(now)) - float64(c.spent.sum())
 }
 
-// slack is this host's part of the free retries. A process that has only begun has
-// none: it doesn't know what its earlier life has spent in the same window. Were it to
-// spend its part again, a fleet that is killed while servers fail would go over the
-// budget by nearly half.
-func (b *Budget) slack(now time.Time) float64 {
+// ownSlack returns this host's share of the slack. A process that has just started has none: it
+// doesn't know what its previous incarnation has spent in the same window. If it spent its
+// share again, a fleet that is killed while servers fail would exceed the budget by nearly
+// half.
+func (b *Budget) ownSlack(now time.Time) float64 {
 	if now.Sub(b.options.Begun) < b.options.Window {
 		return 0
 	}
 	return b.options.Slack / float64(b.hosts)
 }
 
-// counts gives a service's ring, moved on to now.
-func (b *Budget) counts(now time.Time, service ident.ServiceName) *counts {
-	bucket := now.UnixNano() / max(int64(b.options.Window)/buckets, 1)
+// countsAt returns a service's counts, with the ring advanced to now.
+func (b *Budget) countsAt(now time.Time, service ident.ServiceName) *windowCounts {
+	bucket := now.UnixNano() / max(int64(b.options.Window)/bucketsPerWindow, 1)
 	c, known := b.services[service]
 	if !known {
-		c = &counts{
-			at: bucket,
+		c = &windowCounts{
+			newest: bucket,
 		}
 		b.services[service] = c
 	}
-	for steps := 0; c.at < bucket && steps < buckets; steps++ {
-		c.at++
-		c.requests[c.at%buckets] = 0
-		c.spent[c.at%buckets] = 0
-		c.given[c.at%buckets] = 0
-		c.lent[c.at%buckets] = 0
+	for steps := 0; c.newest < bucket && steps < bucketsPerWindow; steps++ {
+		c.newest++
+		c.requests[c.newest%bucketsPerWindow] = 0
+		c.spent[c.newest%bucketsPerWindow] = 0
+		c.received[c.newest%bucketsPerWindow] = 0
+		c.lent[c.newest%bucketsPerWindow] = 0
 	}
-	c.at = max(c.at, bucket)
+	c.newest = max(c.newest, bucket)
 	return c
 }
--- a/internal/control/retries/retries_test.go
+++ b/internal/control/retries/retries_test.go
@@ -10,10 +10,9 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// Seven hosts that hear nothing of one another retry as often as they may, in any
-// pattern of arrivals. In no window of the deployment's length may all of them
-// together spend more than the whole budget.
-func TestHostsTogetherKeepTheBudget(t *testing.T) {
+// Seven hosts without any communication retry as often as they may, in any pattern of arrivals.
+// In no window may all of them together spend more than the whole budget.
+func TestSumOverHostsStaysWithinBudget(t *testing.T) {
 	options := Options{
 		Ratio:  0.2,
 		Window: 10 * time.Second,
@@ -35,21 +34,21 @@
 				}
 			}
 		}
-		requireWithin(t, options, arrived, spent)
+		requireWithinBudget(t, options, arrived, spent)
 	})
 }
 
-// requireWithin tells that in no window more was spent than the whole budget.
-func requireWithin(t require.TestingT, options Options, arrived, spent []time.Time) {
+// requireWithinBudget checks that no window has more retries than the whole budget.
+func requireWithinBudget(t require.TestingT, options Options, arrived, spent []time.Time) {
 	for _, from := range spent {
-		inWindow := count(spent, from, options.Window)
-		requests := max(count(arrived, from, options.Window), count(arrived, from.Add(-options.Window), options.Window),
-			count(arrived, from.Add(-options.Window/2), options.Window))
+		inWindow := countInWindow(spent, from, options.Window)
+		requests := max(countInWindow(arrived, from, options.Window), countInWindow(arrived, from.Add(-options.Window), options.Window),
+			countInWindow(arrived, from.Add(-options.Window/2), options.Window))
 		require.LessOrEqual(t, float64(inWindow), options.Ratio*float64(requests)+options.Slack)
 	}
 }
 
-// newBudgets gives the budgets of hosts that share one.
+// newBudgets returns the budgets of hosts that share one.
 func newBudgets(options Options, hosts int) []*Budget {
 	var budgets []*Budget
 	for range hosts {
@@ -60,7 +59,7 @@
 	return budgets
 }
 
-func count(instants []time.Time, from time.Time, window time.Duration) int {
+func countInWindow(instants []time.Time, from time.Time, window time.Duration) int {
 	n := 0
 	for _, at := range instants {
 		if !at.Before(from) && at.Before(from.Add(window)) {
@@ -70,10 +69,10 @@
 	return n
 }
 
-// Servers fail, all hosts retry as much as they may, and then all hosts are killed and
-// start again within seconds, with nothing known of what they had spent. In the window
-// that has both, they must not spend their free part twice.
-func TestARestartGivesNoSecondBudget(t *testing.T) {
+// Servers fail, all hosts retry as much as they may, and then all hosts are killed and restart
+// within seconds, without knowing what they had spent. In the window that includes both
+// incarnations, they must not spend their share of the slack twice.
+func TestRestartGivesNoSecondSlack(t *testing.T) {
 	options := Options{
 		Ratio:  0.2,
 		Window: 10 * time.Second,
@@ -82,27 +81,28 @@
 	const hosts = 7
 	var spent []time.Time
 	for range hosts {
-		for life := range 3 {
-			begun := start.Add(time.Duration(life) * 3 * time.Second)
-			options.Begun = begun
-			if life == 0 {
-				options.Begun = begun.Add(-time.Minute)
+		for incarnation := range 3 {
+			startedAt := start.Add(time.Duration(incarnation) * 3 * time.Second)
+			options.Begun = startedAt
+			if incarnation == 0 {
+				options.Begun = startedAt.Add(-time.Minute)
 			}
 			budget := New(options)
 			budget.SetHosts(hosts)
 			for range 30 {
-				if budget.Take(begun.Add(time.Second), "notes") {
-					spent = append(spent, begun.Add(time.Second))
+				if budget.Take(startedAt.Add(time.Second), "notes") {
+					spent = append(spent, startedAt.Add(time.Second))
 				}
 			}
 		}
 	}
-	require.LessOrEqual(t, float64(count(spent, start, options.Window)), options.Slack)
+	require.LessOrEqual(t, float64(countInWindow(spent, start, options.Window)), options.Slack)
 	require.NotEmpty(t, spent)
 }
 
-// A host that does not know how many others there are spends as if there were many.
-func TestPartsShrinkWithTheHosts(t *testing.T) {
+// A host's share of the slack shrinks with the number of hosts. Before it knows that number, it
+// has to spend as if there were many.
+func TestSlackIsSharedAmongHosts(t *testing.T) {
 	budget := New(Options{
 		Window: 10 * time.Second,
 		Slack:  54,
