--- a/internal/control/holdings/holdings.go
+++ b/internal/control/holdings/holdings.go
@@ -1,19 +1,23 @@
-// Package holdings keeps what the holder knows of engines, and what has changed in it
-// since a host last heard of it.
+// Package holdings keeps the inventory and load of each engine as the leader knows them, and
+// which of these have changed since a host was last updated.
 //
-// The holder's knowledge goes to hundreds of hosts several times a second. Nearly all
-// of it is the same each time, and most of what changes is an engine's load: so each
-// change has a number, and who asks says up to which it knows all of them. Hosts pass
-// on what they have heard under the holder's own numbers, so it doesn't matter whom a
-// host asks next: what is older than what it knows is left out.
+// The leader sends its knowledge to hundreds of hosts several times a second. Nearly all of it
+// is the same each time, and most changes are to an engine's load. So each change has a number,
+// and a host names the last one that it knows (its Mark). Hosts relay updates with the leader's
+// own numbers, so a host may ask any other for the next update: changes older than those it
+// knows are ignored.
+//
+// The leader's host calls Tell with what its planner returns. Watchers and other hosts call
+// Apply with the updates that they receive, and Since for the hosts that ask them. A Table has
+// no lock: one goroutine owns it.
 //
 // # Usage
 //
 //	var table holdings.Table
-//	table.Tell(now, token, planner.Holdings(now)) // at the holder
-//	update := table.Since(mark)                   // for who knows all up to mark
+//	table.Tell(now, token, planner.Holdings(now)) // at the leader
+//	update := table.Since(mark)                   // for a host that knows all changes up to mark
 //	...
-//	news := table.Apply(now, &update)             // at who asked
+//	changed := table.Apply(now, &update)          // at the host that asked
 //	if table.Fresh(now) {
 //		holding, known := table.Of("i-7f3a91c2")
 //	}
@@ -29,60 +33,61 @@
 	"cicadaloom/internal/domain/request"
 )
 
-// Trust is how long the holder's word goes before the servers' own entries: several
-// rounds of the exchange.
-const Trust = 2 * time.Second
+// MaxAge is how long the leader's report takes precedence over the servers' own entries:
+// several rounds of the exchange.
+const MaxAge = 2 * time.Second
 
-// Mark is a state of the holder's knowledge. The zero value is before all.
+// Mark is a point in the sequence of a leader's changes: all up to Changes are known. Token is
+// the fencing number of that leader. The zero value is before all changes.
 type Mark struct {
 	Token   ident.FencingNumber
 	Changes int64
 }
 
-// Engine is what the holder knows of one engine.
+// Engine is what the leader knows of one engine.
 type Engine struct {
 	loading.Holding
-	// HeldChanged and LoadChanged are the changes at which what it holds and its load
-	// became what they are.
+	// HeldChanged and LoadChanged are the numbers of the last changes of its inventory and of
+	// its load.
 	HeldChanged int64
 	LoadChanged int64
-	// LoadOnly tells that what it holds has not changed and isn't given.
+	// LoadOnly is whether the inventory has not changed and is left out.
 	LoadOnly bool
 }
 
-// Update is what has changed since a mark.
+// Update has the changes since a mark.
 type Update struct {
 	Mark
-	// Heard is when the holder told it, by the clock of who reads it.
+	// Heard is when the leader reported them, by the clock of the host that reads the update.
 	Heard   time.Time
 	Engines []Engine
 }
 
-// Table has the engines. The zero value is empty; it belongs to one goroutine.
+// Table has the engines. The zero value is empty and ready to use; it belongs to one goroutine.
 type Table struct {
-	mark    Mark
-	heard   time.Time
-	engines map[ident.ServerName]*entry
-	loads   loads
+	cursor     Mark
+	reportedAt time.Time
+	engines    map[ident.ServerName]*entry
+	loads      loadHistory
 }
 
-// entry is an engine, and when it was last told of.
+// entry is an engine and when it was last reported.
 type entry struct {
 	Engine
-	at time.Time
+	seenAt time.Time
 }
 
-// Mark gives the state up to which all changes are known.
+// Mark returns the point up to which all changes are known.
 func (t *Table) Mark() Mark {
-	return t.mark
+	return t.cursor
 }
 
-// Fresh tells that the holder's word still goes.
+// Fresh returns whether the leader's last report is no older than MaxAge.
 func (t *Table) Fresh(now time.Time) bool {
-	return now.Sub(t.heard) <= Trust
+	return now.Sub(t.reportedAt) <= MaxAge
 }
 
-// Of gives what the holder said of an engine.
+// Of returns what the leader reported of an engine.
 func (t *Table) Of(name ident.ServerName) (loading.Holding, bool) {
 	if e, known := t.engines[name]; known {
 		return e.Holding, true
@@ -90,53 +95,53 @@
 	return loading.Holding{}, false
 }
 
-// begin starts anew under another holder's token.
-func (t *Table) begin(token ident.FencingNumber) {
-	t.mark = Mark{
-		Token: token,
+// reset starts with an empty table for another leader's fencing number.
+func (t *Table) reset(fencingNumber ident.FencingNumber) {
+	t.cursor = Mark{
+		Token: fencingNumber,
 	}
 	t.engines = make(map[ident.ServerName]*entry)
 }
 
-// Tell takes in what the holder itself knows now.
-func (t *Table) Tell(now time.Time, token ident.FencingNumber, all []loading.Holding) {
-	if t.mark.Token != token || t.engines == nil {
-		t.begin(token)
+// Tell replaces the table by what the leader itself knows now.
+func (t *Table) Tell(now time.Time, fencingNumber ident.FencingNumber, inventories []loading.Holding) {
+	if t.cursor.Token != fencingNumber || t.engines == nil {
+		t.reset(fencingNumber)
 	}
-	t.heard = now
-	for i := range all {
-		t.tell(now, &all[i])
+	t.reportedAt = now
+	for i := range inventories {
+		t.set(now, &inventories[i])
 	}
 	for name, e := range t.engines {
-		if e.at.Before(now) {
-			delete(t.engines, name) // if it comes back, it is told of anew
+		if e.seenAt.Before(now) {
+			delete(t.engines, name) // an engine that comes back is sent in full
 		}
 	}
-	t.loads.noted(now)
+	t.loads.endBatch(now)
 }
 
-func (t *Table) tell(now time.Time, told *loading.Holding) {
-	known, found := t.engines[told.Server]
+func (t *Table) set(now time.Time, reported *loading.Holding) {
+	known, found := t.engines[reported.Server]
 	if !found {
 		known = &entry{}
-		t.engines[told.Server] = known
+		t.engines[reported.Server] = known
 	}
-	known.at = now
-	if !found || !sameHeld(&known.Holding, told) {
-		t.mark.Changes++
-		known.HeldChanged = t.mark.Changes
-		t.loads.note(now, told)
+	known.seenAt = now
+	if !found || !sameInventory(&known.Holding, reported) {
+		t.cursor.Changes++
+		known.HeldChanged = t.cursor.Changes
+		t.loads.record(now, reported)
 	}
-	if known.Running != told.Running || known.Waiting != told.Waiting {
-		t.mark.Changes++
-		known.LoadChanged = t.mark.Changes
+	if known.Running != reported.Running || known.Waiting != reported.Waiting {
+		t.cursor.Changes++
+		known.LoadChanged = t.cursor.Changes
 	}
-	known.Holding = *told
+	known.Holding = *reported
 }
 
-// sameHeld tells that two words on an engine differ in its load at most. Weights come in
-// any order.
-func sameHeld(a, b *loading.Holding) bool {
+// sameInventory returns whether two reports of an engine differ in its load at most. Weights
+// may be in any order.
+func sameInventory(a, b *loading.Holding) bool {
 	return a.Incarnation == b.Incarnation && sameSet(a.Holds, b.Holds) && sameSet(a.Retiring, b.Retiring)
 }
 
@@ -152,93 +157,92 @@
 	return true
 }
 
-// Since gives what has changed since a mark: everything, if that was another holder's.
+// Since returns the changes after a mark, or everything if the mark is of another leader.
 func (t *Table) Since(known Mark) Update {
 	after := known.Changes
-	if known.Token != t.mark.Token {
+	if known.Token != t.cursor.Token {
 		after = 0
 	}
 	update := Update{
-		Mark:  t.mark,
-		Heard: t.heard,
+		Mark:  t.cursor,
+		Heard: t.reportedAt,
 	}
 	for _, e := range t.engines {
-		one := e.Engine
+		changed := e.Engine
 		switch {
 		case e.HeldChanged > after:
 		case e.LoadChanged > after:
-			one.LoadOnly = true
-			one.Holds = nil
-			one.Retiring = nil
+			changed.LoadOnly = true
+			changed.Holds = nil
+			changed.Retiring = nil
 		default:
 			continue
 		}
-		update.Engines = append(update.Engines, one)
+		update.Engines = append(update.Engines, changed)
 	}
 	return update
 }
 
-// Apply takes in an update that was given since this table's mark, or since an earlier
-// one of it, and gives the engines that are news. That of an earlier holder says nothing
-// any more.
+// Apply applies an update since this table's mark, or since an earlier one, and returns the
+// engines that have changed by it. An update of an earlier leader is ignored.
 func (t *Table) Apply(now time.Time, update *Update) []Engine {
-	if update.Token < t.mark.Token || update.Token == 0 {
+	if update.Token < t.cursor.Token || update.Token == 0 {
 		return nil
 	}
-	if update.Token > t.mark.Token || t.engines == nil {
-		t.begin(update.Token)
+	if update.Token > t.cursor.Token || t.engines == nil {
+		t.reset(update.Token)
 	}
-	var news []Engine
+	var applied []Engine
 	for i := range update.Engines {
-		if t.apply(now, &update.Engines[i]) {
-			news = append(news, update.Engines[i])
+		if t.applyEngine(now, &update.Engines[i]) {
+			applied = append(applied, update.Engines[i])
 		}
 	}
-	t.loads.noted(now)
-	t.mark.Changes = max(t.mark.Changes, update.Changes)
-	if update.Heard.After(t.heard) {
-		t.heard = update.Heard
+	t.loads.endBatch(now)
+	t.cursor.Changes = max(t.cursor.Changes, update.Changes)
+	if update.Heard.After(t.reportedAt) {
+		t.reportedAt = update.Heard
 	}
-	return news
+	return applied
 }
 
-func (t *Table) apply(now time.Time, told *Engine) bool {
-	known, found := t.engines[told.Server]
+func (t *Table) applyEngine(now time.Time, reported *Engine) bool {
+	known, found := t.engines[reported.Server]
 	if !found {
-		if told.LoadOnly {
+		if reported.LoadOnly {
 			return false
 		}
 		known = &entry{}
-		t.engines[told.Server] = known
+		t.engines[reported.Server] = known
 	}
-	before := max(known.HeldChanged, known.LoadChanged)
-	known.at = now
-	if !told.LoadOnly && told.HeldChanged > known.HeldChanged {
-		known.HeldChanged = told.HeldChanged
-		known.Server = told.Server
-		known.Incarnation = told.Incarnation
-		known.Holds = told.Holds
-		known.Retiring = told.Retiring
-		t.loads.note(now, &known.Holding)
+	lastChange := max(known.HeldChanged, known.LoadChanged)
+	known.seenAt = now
+	if !reported.LoadOnly && reported.HeldChanged > known.HeldChanged {
+		known.HeldChanged = reported.HeldChanged
+		known.Server = reported.Server
+		known.Incarnation = reported.Incarnation
+		known.Holds = reported.Holds
+		known.Retiring = reported.Retiring
+		t.loads.record(now, &known.Holding)
 	}
-	if told.LoadChanged > known.LoadChanged {
-		known.LoadChanged = told.LoadChanged
-		known.Running = told.Running
-		known.Waiting = told.Waiting
+	if reported.LoadChanged > known.LoadChanged {
+		known.LoadChanged = reported.LoadChanged
+		known.Running = reported.Running
+		known.Waiting = reported.Waiting
 	}
-	return max(known.HeldChanged, known.LoadChanged) > before
+	return max(known.HeldChanged, known.LoadChanged) > lastChange
 }
 
-// forgetAfter is how long an engine is kept that is not there and not told of. Its entry
-// may come a little after the holder's word on it.
-const forgetAfter = time.Minute
+// missingRetention is how long an engine is kept that has no entry and is not reported. Its
+// entry may arrive a little after the leader's report.
+const missingRetention = time.Minute
 
-// Forget drops the engines that are no longer there.
-func (t *Table) Forget(now time.Time, there func(ident.ServerName) bool) {
+// Forget drops the engines that no longer exist.
+func (t *Table) Forget(now time.Time, exists func(ident.ServerName) bool) {
 	for name, e := range t.engines {
-		if now.Sub(e.at) > forgetAfter && !there(name) {
+		if now.Sub(e.seenAt) > missingRetention && !exists(name) {
 			delete(t.engines, name)
 		}
 	}
-	maps.DeleteFunc(t.loads.held, func(name ident.ServerName, _ loading.Held) bool { return !there(name) })
+	maps.DeleteFunc(t.loads.inventories, func(name ident.ServerName, _ loading.Held) bool { return !exists(name) })
 }
--- a/internal/control/holdings/holdings_test.go
+++ b/internal/control/holdings/holdings_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-func holding(server int, running int, models ...ident.ModelName) loading.Holding {
+func newInventory(server int, running int, models ...ident.ModelName) loading.Holding {
 	h := loading.Holding{
 		Server:      ident.ServerName("e" + strconv.Itoa(server)),
 		Incarnation: "1",
@@ -29,104 +29,104 @@
 	return h
 }
 
-// The holder's knowledge reaches a host by two others, each of them behind the holder by
-// another while, and the holder changes. What the host knows of an engine never goes
-// back: it would send requests for a model to an engine that has just dropped it. Once
-// both others are up to date, so is the host.
-func TestWhatIsPassedOnNeverGoesBack(t *testing.T) {
+// The leader's knowledge reaches a host through two watchers, each behind the leader by a
+// different time, and the leader changes. What the host knows of an engine never goes back:
+// otherwise it would send requests for a model to an engine that has just unloaded it. Once
+// both watchers are up to date, so is the host.
+func TestRelayedUpdatesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
-		token := ident.FencingNumber(1)
-		told := make(map[int]loading.Holding)
-		var holder, host Table
-		var others [2]Table
-		tell := func() {
+		fencingNumber := ident.FencingNumber(1)
+		inventories := make(map[int]loading.Holding)
+		var leader, host Table
+		var watchers [2]Table
+		report := func() {
 			var all []loading.Holding
-			for _, one := range told {
-				all = append(all, one)
+			for _, inventory := range inventories {
+				all = append(all, inventory)
 			}
-			holder.Tell(now, token, all)
+			leader.Tell(now, fencingNumber, all)
 		}
-		pass := func(from, to *Table) {
+		relay := func(from, to *Table) {
 			update := from.Since(to.Mark())
 			to.Apply(now, &update)
 		}
 		last := make(map[ident.ServerName]Engine)
-		lastToken := ident.FencingNumber(0)
+		lastFencingNumber := ident.FencingNumber(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now = now.Add(50 * time.Millisecond)
 			server := rapid.IntRange(0, 3).Draw(t, "server")
-			other := &others[rapid.IntRange(0, 1).Draw(t, "other")]
+			watcher := &watchers[rapid.IntRange(0, 1).Draw(t, "other")]
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				model := ident.ModelName("m" + strconv.Itoa(rapid.IntRange(0, 3).Draw(t, "model")))
-				told[server] = holding(server, rapid.IntRange(0, 9).Draw(t, "running"), model)
-				tell()
+				inventories[server] = newInventory(server, rapid.IntRange(0, 9).Draw(t, "running"), model)
+				report()
 			case 2:
 				if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
-					token++
-					holder = Table{}
-					tell()
+					fencingNumber++
+					leader = Table{}
+					report()
 				}
 			case 3, 4:
-				pass(&holder, other)
+				relay(&leader, watcher)
 			case 5:
-				pass(other, &host)
+				relay(watcher, &host)
 				for name, e := range host.engines {
-					if before, known := last[name]; known && host.mark.Token == lastToken {
+					if before, known := last[name]; known && host.cursor.Token == lastFencingNumber {
 						require.GreaterOrEqual(t, e.HeldChanged, before.HeldChanged)
 						require.GreaterOrEqual(t, e.LoadChanged, before.LoadChanged)
 					}
 				}
 				clear(last)
-				lastToken = host.mark.Token
+				lastFencingNumber = host.cursor.Token
 				for name, e := range host.engines {
 					last[name] = e.Engine
 				}
 			}
 		}
-		tell()
-		pass(&holder, &others[0])
-		pass(&others[0], &host)
-		for _, one := range told {
-			known, found := host.Of(one.Server)
+		report()
+		relay(&leader, &watchers[0])
+		relay(&watchers[0], &host)
+		for _, inventory := range inventories {
+			known, found := host.Of(inventory.Server)
 			require.True(t, found)
-			require.Equal(t, one, known)
+			require.Equal(t, inventory, known)
 		}
-		require.Equal(t, now, host.heard)
-		require.True(t, host.Fresh(now.Add(Trust)))
-		require.False(t, host.Fresh(now.Add(Trust+1)))
+		require.Equal(t, now, host.reportedAt)
+		require.True(t, host.Fresh(now.Add(MaxAge)))
+		require.False(t, host.Fresh(now.Add(MaxAge+1)))
 	})
 }
 
-// 240 engines' words go to 300 hosts several times a second. Only what has changed is
-// told, and of most engines only the load.
-func TestOnlyChangesAreTold(t *testing.T) {
+// The state of 240 engines goes to 300 hosts several times a second. An update has changes
+// only, and for most engines only the load.
+func TestSinceReturnsOnlyChanges(t *testing.T) {
 	var table Table
-	all := []loading.Holding{holding(0, 1, "m"), holding(1, 2, "m", "n"), holding(2, 0)}
-	table.Tell(start, 7, all)
+	inventories := []loading.Holding{newInventory(0, 1, "m"), newInventory(1, 2, "m", "n"), newInventory(2, 0)}
+	table.Tell(start, 7, inventories)
 	known := table.Mark()
 	require.Len(t, table.Since(Mark{}).Engines, 3)
-	table.Tell(start, 7, all)
+	table.Tell(start, 7, inventories)
 	require.Empty(t, table.Since(known).Engines)
-	all[1].Running = 3
-	all[1].Holds[0], all[1].Holds[1] = all[1].Holds[1], all[1].Holds[0]
-	table.Tell(start, 7, all)
+	inventories[1].Running = 3
+	inventories[1].Holds[0], inventories[1].Holds[1] = inventories[1].Holds[1], inventories[1].Holds[0]
+	table.Tell(start, 7, inventories)
 	update := table.Since(known)
 	require.Len(t, update.Engines, 1)
 	require.True(t, update.Engines[0].LoadOnly)
 	require.Empty(t, update.Engines[0].Holds)
-	table.Tell(start.Add(1), 7, all[:2])
-	table.Tell(start.Add(2), 7, all)
+	table.Tell(start.Add(1), 7, inventories[:2])
+	table.Tell(start.Add(2), 7, inventories)
 	update = table.Since(known)
-	require.Len(t, update.Engines, 2, "one that was away is told of anew")
+	require.Len(t, update.Engines, 2, "the host is told everything of an engine that comes back")
 }
 
-// An earlier holder's word comes after a later one's. It says nothing any more.
-func TestAnEarlierHoldersWordIsLeftOut(t *testing.T) {
+// An earlier leader's update arrives after a later leader's. It must not change anything.
+func TestUpdateOfEarlierLeaderIsIgnored(t *testing.T) {
 	var early, late, host Table
-	early.Tell(start, 3, []loading.Holding{holding(0, 1, "m")})
-	late.Tell(start, 4, []loading.Holding{holding(0, 1, "n")})
+	early.Tell(start, 3, []loading.Holding{newInventory(0, 1, "m")})
+	late.Tell(start, 4, []loading.Holding{newInventory(0, 1, "n")})
 	update := late.Since(Mark{})
 	host.Apply(start, &update)
 	update = early.Since(host.Mark())
@@ -135,14 +135,14 @@
 	require.Equal(t, ident.ModelName("n"), known.Holds[0].Model)
 }
 
-// Engines that are gone are forgotten, though not at once: the holder's word may come
+// Engines that no longer exist are dropped, but not at once: the leader's report may arrive
 // before their entry.
-func TestEnginesThatAreGoneAreForgotten(t *testing.T) {
+func TestForgetDropsMissingEngines(t *testing.T) {
 	var table Table
-	table.Tell(start, 1, []loading.Holding{holding(0, 0), holding(1, 0)})
-	there := func(name ident.ServerName) bool { return name == "e1" }
-	table.Forget(start.Add(forgetAfter), there)
+	table.Tell(start, 1, []loading.Holding{newInventory(0, 0), newInventory(1, 0)})
+	exists := func(name ident.ServerName) bool { return name == "e1" }
+	table.Forget(start.Add(missingRetention), exists)
 	require.Len(t, table.engines, 2)
-	table.Forget(start.Add(forgetAfter+1), there)
+	table.Forget(start.Add(missingRetention+1), exists)
 	require.Len(t, table.engines, 1)
 }
--- a/internal/control/holdings/loads.go
+++ b/internal/control/holdings/loads.go
@@ -9,52 +9,51 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// loads notes which models engines came to hold, and when. From it the next holder knows
-// how much of the weight store's pace its predecessor has used.
+// loadHistory records which models engines have loaded, and when. From it the next leader knows
+// how much of the weight store's load rate limit its predecessor has used.
 //
-// An instant is that of the word that told of the model, later than that of its load.
-// Words that are lost only make it later: then a load counts for too long.
-type loads struct {
-	// from is since when there has been something to compare words with.
-	from time.Time
-	held map[ident.ServerName]loading.Held
-	// appeared are the instants at which models appeared, the oldest first.
-	appeared []time.Time
+// A load has the instant of the report that first included the model, which is later than the
+// load. Lost reports only make it later still: then the load counts for too long.
+type loadHistory struct {
+	// since is when the first inventories became known, which later ones are compared with.
+	since       time.Time
+	inventories map[ident.ServerName]loading.Held
+	// appearedAt has the instants at which models appeared, the oldest first.
+	appearedAt []time.Time
 }
 
-// loadsKept is for how long appearances are kept: longer than the window of any pace.
-const loadsKept = 10 * time.Second
+// loadRetention is how long loads are kept: longer than the window of any load rate limit.
+const loadRetention = 10 * time.Second
 
-// note takes in a word on what an engine holds.
-func (l *loads) note(now time.Time, told *loading.Holding) {
-	if l.held == nil {
-		l.held = make(map[ident.ServerName]loading.Held)
+// record adds the loads that an engine's new inventory shows.
+func (l *loadHistory) record(now time.Time, reported *loading.Holding) {
+	if l.inventories == nil {
+		l.inventories = make(map[ident.ServerName]loading.Held)
 	}
-	after := told.Held()
-	if !l.from.IsZero() {
-		for range after.LoadsSince(l.held[told.Server]) {
-			l.appeared = append(l.appeared, now)
+	held := reported.Held()
+	if !l.since.IsZero() {
+		for range held.LoadsSince(l.inventories[reported.Server]) {
+			l.appearedAt = append(l.appearedAt, now)
 		}
 	}
-	l.held[told.Server] = after
+	l.inventories[reported.Server] = held
 }
 
-// noted ends the taking in of words that came together.
-func (l *loads) noted(now time.Time) {
-	if l.from.IsZero() && len(l.held) > 0 {
-		l.from = now
+// endBatch ends a batch of reports that arrived together, and drops old loads.
+func (l *loadHistory) endBatch(now time.Time) {
+	if l.since.IsZero() && len(l.inventories) > 0 {
+		l.since = now
 	}
-	for len(l.appeared) > 0 && now.Sub(l.appeared[0]) > loadsKept {
-		l.appeared = l.appeared[1:]
+	for len(l.appearedAt) > 0 && now.Sub(l.appearedAt[0]) > loadRetention {
+		l.appearedAt = l.appearedAt[1:]
 	}
 }
 
-// Past gives what is known of the loads that began before now, for the planner of a new
-// holder.
+// Past returns what is known of earlier loads, for the planner of a new leader.
 func (t *Table) Past() loading.Past {
 	return loading.Past{
-		Known: t.loads.from,
-		Loads: slices.Clone(t.loads.appeared),
-		Held:  maps.Clone(t.loads.held),
+		Known: t.loads.since,
+		Loads: slices.Clone(t.loads.appearedAt),
+		Held:  maps.Clone(t.loads.inventories),
 	}
 }
--- a/internal/control/holdings/loads_test.go
+++ b/internal/control/holdings/loads_test.go
@@ -10,32 +10,33 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// A holder begins loads and is lost. Whoever takes over has to count them in the weight
-// store's pace, but not what engines held before, nor what an earlier word had told.
-func TestLoadsOfTheFormerHolderAreKnown(t *testing.T) {
+// A leader starts loads and is lost. The next leader has to count them against the weight
+// store's load rate limit, but neither what engines held before nor what an earlier report
+// included.
+func TestLoadsOfFormerLeaderAreKnown(t *testing.T) {
 	now := start
-	var holder, host Table
+	var leader, host Table
 	require.Zero(t, host.Past().Known)
-	tell := func(token ident.FencingNumber, all ...loading.Holding) {
+	report := func(fencingNumber ident.FencingNumber, inventories ...loading.Holding) {
 		now = now.Add(time.Second)
-		holder.Tell(now, token, all)
-		update := holder.Since(host.Mark())
+		leader.Tell(now, fencingNumber, inventories)
+		update := leader.Since(host.Mark())
 		host.Apply(now, &update)
 	}
-	tell(1, holding(1, 0, "a"), holding(2, 0, "b"))
-	known := now
+	report(1, newInventory(1, 0, "a"), newInventory(2, 0, "b"))
+	knownSince := now
 	require.Empty(t, host.Past().Loads, "held already")
-	tell(1, holding(1, 0, "a", "c"), holding(2, 5, "b"))
-	appeared := now
-	tell(2, holding(1, 0, "a", "c"), holding(2, 5, "b"))
+	report(1, newInventory(1, 0, "a", "c"), newInventory(2, 5, "b"))
+	appearedAt := now
+	report(2, newInventory(1, 0, "a", "c"), newInventory(2, 5, "b"))
 	past := host.Past()
-	require.Equal(t, known, past.Known)
-	require.Equal(t, []time.Time{appeared}, past.Loads, "a later holder's first words tell nothing new")
+	require.Equal(t, knownSince, past.Known)
+	require.Equal(t, []time.Time{appearedAt}, past.Loads, "a later holder's first report has nothing new")
 	require.ElementsMatch(t, []ident.ModelName{"a", "c"}, past.Held["e1"].Models)
-	tell(2, holding(1, 0, "a", "c"), holding(2, 5, "b"), holding(3, 0, "a", "b"))
+	report(2, newInventory(1, 0, "a", "c"), newInventory(2, 5, "b"), newInventory(3, 0, "a", "b"))
 	require.Len(t, host.Past().Loads, 4, "an engine that is new may have loaded all of it just now, and more before")
-	require.Equal(t, holder.Past(), host.Past(), "the holder itself may be the next one")
-	now = now.Add(loadsKept)
-	tell(2, holding(1, 0, "a", "c"))
+	require.Equal(t, leader.Past(), host.Past(), "the holder itself may be the next one")
+	now = now.Add(loadRetention)
+	report(2, newInventory(1, 0, "a", "c"))
 	require.Empty(t, host.Past().Loads)
 }
