--- a/internal/control/routetable/routetable.go
+++ b/internal/control/routetable/routetable.go
@@ -1,8 +1,8 @@
-// Package routetable finds the route of a request: among the routes of its host,
-// the one with the longest prefix that begins its path.
+// Package routetable finds the route of a request: the one with the longest prefix of the
+// request's path, among the routes of the request's host name.
 //
-// A Table is made once for a configuration and never changes; many goroutines
-// may look things up in it.
+// A Table is built once for a configuration and never changes; many goroutines may use it
+// concurrently. The relay looks up each request in the table of the current configuration.
 //
 // # Usage
 //
@@ -11,7 +11,7 @@
 //	if found == nil {
 //		// 404
 //	}
-//	service := routetable.Share(found, dice)
+//	service := routetable.Share(found, rand.Uint64())
 package routetable
 
 import (
@@ -25,49 +25,50 @@
 // Table finds routes.
 type Table struct {
 	configuration *route.Configuration
-	// byHost has each host's routes, the longest prefix first.
-	byHost map[string][]*route.Route
+	// routesByHost has the routes of each host name, the longest prefix first.
+	routesByHost map[string][]*route.Route
 }
 
-// New makes the table of a configuration, which must not change any more.
+// New builds the table of a configuration, which must not change afterwards.
 func New(configuration *route.Configuration) *Table {
 	table := &Table{
 		configuration: configuration,
-		byHost:        make(map[string][]*route.Route),
+		routesByHost:  make(map[string][]*route.Route),
 	}
 	for i := range configuration.Routes {
-		one := &configuration.Routes[i]
-		host := strings.ToLower(one.Host)
-		table.byHost[host] = append(table.byHost[host], one)
+		configured := &configuration.Routes[i]
+		host := strings.ToLower(configured.Host)
+		table.routesByHost[host] = append(table.routesByHost[host], configured)
 	}
-	for _, routes := range table.byHost {
+	for _, routes := range table.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	return table
 }
 
-// Configuration gives what the table was made from.
+// Configuration returns the configuration that the table was built from.
 func (t *Table) Configuration() *route.Configuration {
 	return t.configuration
 }
 
-// Find gives the route of a host and path, nil where there is none. A port in
-// the host doesn't count.
+// Find returns the route for a host name and path, or nil if there is none. A port in host is
+// ignored.
 func (t *Table) Find(host, path string) *route.Route {
 	host = strings.ToLower(host)
 	if name, _, hasPort := strings.Cut(host, ":"); hasPort {
 		host = name
 	}
-	for _, one := range t.byHost[host] {
-		if strings.HasPrefix(path, one.Prefix) {
-			return one
+	for _, candidate := range t.routesByHost[host] {
+		if strings.HasPrefix(path, candidate.Prefix) {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// Share picks one of a route's targets by weight, with random bits.
-func Share(r *route.Route, dice uint64) ident.ServiceName {
+// Share picks one of a route's targets by weight, with random bits, and returns its service:
+// the first target's if no weight is positive, none if there are no targets.
+func Share(r *route.Route, random uint64) ident.ServiceName {
 	total := 0
 	for _, target := range r.Targets {
 		total += max(target.Weight, 0)
@@ -78,9 +79,9 @@
 		}
 		return r.Targets[0].Service
 	}
-	left := int(dice % uint64(total))
+	remaining := int(random % uint64(total))
 	for _, target := range r.Targets {
-		if left -= max(target.Weight, 0); left < 0 {
+		if remaining -= max(target.Weight, 0); remaining < 0 {
 			return target.Service
 		}
 	}
--- a/internal/control/routetable/routetable_test.go
+++ b/internal/control/routetable/routetable_test.go
@@ -9,7 +9,7 @@
 	"cicadaloom/internal/domain/route"
 )
 
-func table() *Table {
+func newTable() *Table {
 	return New(&route.Configuration{
 		Routes: []route.Route{
 			{
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestFindPicksLongestPrefixOfHost(t *testing.T) {
 	for _, c := range []struct {
 		host string
 		path string
@@ -50,7 +50,7 @@
 		{"notes.example", "/notes/", "notes"},
 		{"other.example", "/", ""},
 	} {
-		found := table().Find(c.host, c.path)
+		found := newTable().Find(c.host, c.path)
 		if c.want == "" {
 			require.Nil(t, found, "%s%s", c.host, c.path)
 			continue
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestSharesFollowTheWeights(t *testing.T) {
+func TestTargetsArePickedByWeight(t *testing.T) {
 	split := &route.Route{
 		Targets: []route.Target{
 			{
@@ -74,8 +74,8 @@
 		},
 	}
 	counts := make(map[ident.ServiceName]int)
-	for dice := range uint64(1000) {
-		counts[Share(split, dice)]++
+	for random := range uint64(1000) {
+		counts[Share(split, random)]++
 	}
 	require.Equal(t, 900, counts["old"])
 	require.Equal(t, 100, counts["new"])
