--- a/internal/control/loading/bench_test.go
+++ b/internal/control/loading/bench_test.go
@@ -12,11 +12,12 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// BenchmarkStep is one step with demand for all models and adapters and nothing to do,
-// for three fleets. The holder takes ten a second. Aims on one core: 1 ms at 240 engines
-// and 5 ms at 850; before and after models kept lists of their engines and engines of
-// their models: 2.4 and 0.45 ms at 90 engines, 12.1 and 1.2 ms at 240,
-// 152 and 7.1 ms at 850.
+// BenchmarkStep measures one step with demand for all models and adapters and no order to
+// give, for three fleet sizes. The leader runs ten steps per second. The targets on one
+// core are 1 ms for 240 engines and 5 ms for 850. Searching all engines for a model's
+// replicas, instead of keeping lists of each model's engines and each engine's models,
+// costs 2.4 ms instead of 0.45 ms for 90 engines, 12.1 ms instead of 1.2 ms for 240, and
+// 152 ms instead of 7.1 ms for 850.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []struct{ engines, models int }{{90, 107}, {240, 291}, {850, 1400}} {
 		b.Run(strconv.Itoa(size.engines), func(b *testing.B) { benchmarkStep(b, size.engines, size.models) })
@@ -87,11 +88,11 @@
 		b.StopTimer()
 		now = now.Add(100 * time.Millisecond)
 		report()
-		for _, e := range planner.list {
+		for _, e := range planner.sortedEngines {
 			e.pending = nil
 			clear(e.retiring)
 		}
-		planner.begun = nil
+		planner.loadStarts = nil
 		b.StartTimer()
 		planner.Step(now)
 	}
--- a/internal/control/loading/demand.go
+++ b/internal/control/loading/demand.go
@@ -8,24 +8,27 @@
 	"cicadaloom/internal/domain/request"
 )
 
-// Spans over which demand is averaged. Demand for a model goes from nothing to a
-// third of the traffic in about six seconds, so the short span sees a rise within
-// one; the long one keeps a lull of a second or two from taking a model's places.
+// Time constants of the exponential averages of demand. Demand for a model can rise from
+// nothing to a third of the traffic in about six seconds: the short average follows a rise
+// within one second. The long average lets a model keep its replicas through a lull of a
+// second or two.
 const (
-	shortSpan = 1200 * time.Millisecond
-	longSpan  = 5 * time.Second
+	shortTimeConstant = 1200 * time.Millisecond
+	longTimeConstant  = 5 * time.Second
 )
 
-// Demand is what one host has been asked for since it last told.
+// Demand is the demand for one set of weights that one host has counted since its last
+// report to the leader.
 type Demand struct {
 	Requests int64
-	Missed   int64
-	Waiting  int64
-	// Work is how long one engine takes to read all of the prompts, in seconds.
+	// Missed are the requests whose weights no engine had, Waiting those that still wait.
+	Missed  int64
+	Waiting int64
+	// Work is the prefill time of all prompts on one engine, in seconds.
 	Work float64
 }
 
-// Plus adds up the demand of two hosts.
+// Plus returns the sum of two demands.
 func (d Demand) Plus(other Demand) Demand {
 	return Demand{
 		Requests: d.Requests + other.Requests,
@@ -35,157 +38,159 @@
 	}
 }
 
-// rate is the smoothed demand for one set of weights.
-type rate struct {
-	at time.Time
-	// short and long are engines' time a second: 1 keeps one engine busy with reading
-	// prompts. requests is a long average, a second.
-	short    float64
-	long     float64
-	requests float64
-	// missed is set while somebody asks for weights that no server holds.
-	missed  bool
-	lastAsk time.Time
-	regions map[ident.Region]float64
+// smoothedDemand holds the moving averages of the demand for one set of weights.
+type smoothedDemand struct {
+	updatedAt time.Time
+	// shortWork and longWork are averages of prefill work in engine-seconds per second: 1
+	// keeps one engine busy. requestRate is an average over the long time constant, in
+	// requests per second.
+	shortWork   float64
+	longWork    float64
+	requestRate float64
+	// isMissing is set while requests arrive for weights that no engine has.
+	isMissing     bool
+	lastRequestAt time.Time
+	workByRegion  map[ident.Region]float64
 }
 
-// Ask takes in the demand that one host tells.
+// Ask adds the demand that one host has reported.
 func (p *Planner) Ask(now time.Time, region ident.Region, weights request.Weights, demand Demand) {
-	r, known := p.demand[weights]
+	smoothed, known := p.demand[weights]
 	if !known {
-		r = &rate{
-			at:      now,
-			regions: make(map[ident.Region]float64),
+		smoothed = &smoothedDemand{
+			updatedAt:    now,
+			workByRegion: make(map[ident.Region]float64),
 		}
-		p.demand[weights] = r
+		p.demand[weights] = smoothed
 	}
-	p.byModel = nil
-	p.heard = p.heard || demand.Requests > 0
-	r.decay(now)
-	r.short += demand.Work / shortSpan.Seconds()
-	r.long += demand.Work / longSpan.Seconds()
-	r.requests += float64(demand.Requests) / longSpan.Seconds()
-	r.regions[region] += demand.Work / longSpan.Seconds()
+	p.demandByModel = nil
+	p.receivedRequests = p.receivedRequests || demand.Requests > 0
+	smoothed.decay(now)
+	smoothed.shortWork += demand.Work / shortTimeConstant.Seconds()
+	smoothed.longWork += demand.Work / longTimeConstant.Seconds()
+	smoothed.requestRate += float64(demand.Requests) / longTimeConstant.Seconds()
+	smoothed.workByRegion[region] += demand.Work / longTimeConstant.Seconds()
 	if demand.Requests > 0 || demand.Waiting > 0 {
-		r.lastAsk = now
+		smoothed.lastRequestAt = now
 	}
 	if demand.Missed > 0 || demand.Waiting > 0 {
-		r.missed = true
+		smoothed.isMissing = true
 	}
 }
 
-func (r *rate) decay(now time.Time) {
-	passed := now.Sub(r.at).Seconds()
-	if passed <= 0 {
+func (d *smoothedDemand) decay(now time.Time) {
+	elapsedSeconds := now.Sub(d.updatedAt).Seconds()
+	if elapsedSeconds <= 0 {
 		return
 	}
-	r.at = now
-	r.short *= math.Exp(-passed / shortSpan.Seconds())
-	long := math.Exp(-passed / longSpan.Seconds())
-	r.long *= long
-	r.requests *= long
-	for region := range r.regions {
-		r.regions[region] *= long
+	d.updatedAt = now
+	d.shortWork *= math.Exp(-elapsedSeconds / shortTimeConstant.Seconds())
+	longFactor := math.Exp(-elapsedSeconds / longTimeConstant.Seconds())
+	d.longWork *= longFactor
+	d.requestRate *= longFactor
+	for region := range d.workByRegion {
+		d.workByRegion[region] *= longFactor
 	}
 }
 
-// modelDemand is the demand for a model with all its adapters.
+// modelDemand is the demand for a model including all its adapters.
 type modelDemand struct {
-	// short and long are engines' time a second over the two spans.
-	short float64
-	long  float64
-	// requests is an average, a second.
-	requests float64
-	lastAsk  time.Time
-	regions  map[ident.Region]float64
+	// shortWork and longWork are in engine-seconds per second, over the two time constants.
+	shortWork float64
+	longWork  float64
+	// requestRate is in requests per second.
+	requestRate   float64
+	lastRequestAt time.Time
+	workByRegion  map[ident.Region]float64
 }
 
-// sumDemand adds the demand up by model, once for an instant: a step looks at it for
-// each pair of model and server.
+// sumDemand sums the demand by model. The result is cached for the instant, because a step
+// reads it for each pair of model and engine.
 func (p *Planner) sumDemand(now time.Time) {
-	if p.summedAt.Equal(now) && p.byModel != nil {
+	if p.demandSummedAt.Equal(now) && p.demandByModel != nil {
 		return
 	}
-	p.summedAt = now
-	p.goalWork = 0
-	p.byModel = make(map[ident.ModelName]*modelDemand, len(p.models))
-	for weights, r := range p.demand {
-		r.decay(now)
-		sum, known := p.byModel[weights.Model]
+	p.demandSummedAt = now
+	p.cachedWorkGoal = 0
+	p.demandByModel = make(map[ident.ModelName]*modelDemand, len(p.models))
+	for weights, smoothed := range p.demand {
+		smoothed.decay(now)
+		sum, known := p.demandByModel[weights.Model]
 		if !known {
 			sum = &modelDemand{
-				regions: make(map[ident.Region]float64),
+				workByRegion: make(map[ident.Region]float64),
 			}
-			p.byModel[weights.Model] = sum
+			p.demandByModel[weights.Model] = sum
 		}
-		sum.short += r.short
-		sum.long += r.long
-		sum.requests += r.requests
-		if r.lastAsk.After(sum.lastAsk) {
-			sum.lastAsk = r.lastAsk
+		sum.shortWork += smoothed.shortWork
+		sum.longWork += smoothed.longWork
+		sum.requestRate += smoothed.requestRate
+		if smoothed.lastRequestAt.After(sum.lastRequestAt) {
+			sum.lastRequestAt = smoothed.lastRequestAt
 		}
-		for region, work := range r.regions {
-			sum.regions[region] += work
+		for region, work := range smoothed.workByRegion {
+			sum.workByRegion[region] += work
 		}
 	}
 }
 
-// noDemand is that for a model which nobody has asked for.
+// noDemand is the demand for a model without requests.
 var noDemand modelDemand
 
-// demandFor gives the demand for a model.
+// demandFor returns the demand for a model.
 func (p *Planner) demandFor(now time.Time, name ident.ModelName) *modelDemand {
 	p.sumDemand(now)
-	if sum, known := p.byModel[name]; known {
+	if sum, known := p.demandByModel[name]; known {
 		return sum
 	}
 	return &noDemand
 }
 
-// lastAsked is when a model was last asked for, or when the planner began if nobody has
-// since.
-func (p *Planner) lastAsked(now time.Time, name ident.ModelName) time.Time {
-	at := p.demandFor(now, name).lastAsk
-	if at.Before(p.begunAt) {
-		return p.begunAt
+// lastRequestTime returns when a model was last requested, or when the planner started if
+// there has been no request since.
+func (p *Planner) lastRequestTime(now time.Time, name ident.ModelName) time.Time {
+	at := p.demandFor(now, name).lastRequestAt
+	if at.Before(p.startedAt) {
+		return p.startedAt
 	}
 	return at
 }
 
-// expectedWork is the demand for a model with all its adapters, in engines' time a
-// second: what it is now, or what it will be in a moment if it rises.
+// expectedWork returns the work for a model including all its adapters, in engine-seconds
+// per second. For rising demand it extrapolates by riseLookaheadSeconds.
 func (p *Planner) expectedWork(now time.Time, name ident.ModelName) float64 {
 	d := p.demandFor(now, name)
-	if d.short <= d.long {
-		return max(d.short, d.long*longPart)
+	if d.shortWork <= d.longWork {
+		return max(d.shortWork, d.longWork*longWorkFraction)
 	}
-	// The averages of a steady rise lie as far apart as it grows in the difference of
-	// their spans.
-	rise := (d.short - d.long) / (longSpan - shortSpan).Seconds()
-	return d.short + rise*riseAhead
+	// In a steady rise the two averages differ by the slope times the difference of their
+	// time constants.
+	rise := (d.shortWork - d.longWork) / (longTimeConstant - shortTimeConstant).Seconds()
+	return d.shortWork + rise*riseLookaheadSeconds
 }
 
-// rises tells that a model is asked for more than it was.
-func (p *Planner) rises(now time.Time, name ident.ModelName) bool {
+// isRising reports whether the demand for a model is growing.
+func (p *Planner) isRising(now time.Time, name ident.ModelName) bool {
 	d := p.demandFor(now, name)
-	return d.short > d.long
+	return d.shortWork > d.longWork
 }
 
-// steady tells that demand stays where it is.
-func (p *Planner) steady(now time.Time) bool {
+// isDemandSteady reports whether little of the total work is rising.
+func (p *Planner) isDemandSteady(now time.Time) bool {
 	p.sumDemand(now)
 	rise, total := 0.0, 0.0
-	for _, d := range p.byModel {
-		rise += max(d.short-d.long, 0)
-		total += d.long
+	for _, d := range p.demandByModel {
+		rise += max(d.shortWork-d.longWork, 0)
+		total += d.longWork
 	}
-	return rise <= steadyRise*total+lightWork
+	return rise <= steadyRiseFraction*total+lightWork
 }
 
-// steadyRise is the part of the work that may rise where demand is steady: chance makes
-// a tenth of it rise, a model that takes another's demand a third within two seconds.
-const steadyRise = 0.2
+// steadyRiseFraction is the part of the work that may be rising while demand counts as
+// steady. Chance alone makes a tenth of it rise; a model that takes over another's demand
+// makes a third of it rise within two seconds.
+const steadyRiseFraction = 0.2
 
-// longPart is what the long average counts beside the short one: a model whose
-// demand has just ended keeps half of its places for the length of a lull.
-const longPart = 0.6
+// longWorkFraction is the weight of the long average relative to the short one: a model
+// whose demand has just ended keeps half of its replicas for the length of a lull.
+const longWorkFraction = 0.6
--- a/internal/control/loading/engine.go
+++ b/internal/control/loading/engine.go
@@ -10,92 +10,97 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// engine is what the planner knows of one server.
+// engine is the planner's state of one backend server.
 type engine struct {
 	Server
 	report   backend.Report
 	reported bool
-	// accepted is the count of accepted orders, by reports and by answers, the last of
-	// which came at acceptedAt.
-	accepted   int64
-	acceptedAt time.Time
-	// adapters has the adapters that answers prove to be there, with the instant
-	// from which requests may ask for them.
-	adapters map[request.Weights]time.Time
-	pending  *pending
-	retiring map[ident.ModelName]time.Time
-	// dropping has the models among them whose last replica this is, as nobody asks for
-	// them.
-	dropping map[ident.ModelName]bool
-	// held are the models that the last report shows, since when each was first seen.
-	held  []ident.ModelName
-	since map[ident.ModelName]time.Time
-	// known are the adapters that allAdapters found, nil when they may have changed, and
-	// room is the memory that free found, if it is measured.
-	known    map[request.Weights]bool
-	room     unit.Bytes
-	measured bool
-	// waitUntil holds back orders after one was turned down, until reports are new.
-	waitUntil time.Time
+	// acceptedOrders is the number of orders that the engine has accepted, from its reports
+	// and its answers. The last answer of that kind came at acceptedAt.
+	acceptedOrders int64
+	acceptedAt     time.Time
+	// confirmedAdapters has the adapters that answers to orders confirm, with the
+	// instant from which requests may use each.
+	confirmedAdapters map[request.Weights]time.Time
+	pending           *pendingOrder
+	retiring          map[ident.ModelName]time.Time
+	// retiringLast has the models in retiring for which this is the last replica. They may
+	// be unloaded while no requests come for them.
+	retiringLast map[ident.ModelName]bool
+	// models are the models of the last report; loadedSince is when each was first
+	// reported.
+	models      []ident.ModelName
+	loadedSince map[ident.ModelName]time.Time
+	// cachedAdapters is the result of possibleAdapters, nil if it must be computed again.
+	// cachedFreeMemory is the result of freeMemory, valid if isFreeMemoryCached is set.
+	cachedAdapters     map[request.Weights]bool
+	cachedFreeMemory   unit.Bytes
+	isFreeMemoryCached bool
+	// pausedUntil is the instant before which the engine gets no order, because it refused
+	// one and reports do not show the reason yet.
+	pausedUntil time.Time
 }
 
-// pending is the one order to a server that isn't settled.
-type pending struct {
+// pendingOrder is the one unsettled order to an engine.
+type pendingOrder struct {
 	order  backend.CountedOrder
 	sentAt time.Time
-	// acceptedAt is set once the engine has taken the order.
-	acceptedAt time.Time
-	unanswered bool
-	cold       bool
+	// acceptedAt is when the engine accepted the order, zero before.
+	acceptedAt  time.Time
+	unanswered  bool
+	isFromStore bool
 }
 
-// deadAfter is how long an engine may give no report before its models count as
-// gone and are loaded elsewhere.
-const deadAfter = 2 * time.Second
+// reportTimeout is how long an engine may go without a report before its models count as
+// lost and are loaded elsewhere.
+const reportTimeout = 2 * time.Second
 
-// HasOrder tells that an order to a server isn't settled.
+// HasOrder reports whether an engine has an unsettled order.
 func (p *Planner) HasOrder(server ident.ServerName) bool {
 	e, known := p.engines[server]
 	return known && e.pending != nil
 }
 
-// open tells whether an order may be decided for a server now.
-func (e *engine) open(now time.Time) bool {
-	return e.reported && !e.Leaving && e.pending == nil && !e.report.OrderUnderWay && !now.Before(e.waitUntil) &&
-		now.Sub(e.report.At) < reportTrust && e.report.OrdersAccepted == e.accepted
+// canTakeOrder reports whether the engine's state is known exactly enough to decide an
+// order for it: its report is recent and counts all accepted orders, and none is in
+// progress.
+func (e *engine) canTakeOrder(now time.Time) bool {
+	return e.reported && !e.Leaving && e.pending == nil && !e.report.OrderUnderWay && !now.Before(e.pausedUntil) &&
+		now.Sub(e.report.At) < maxReportAge && e.report.OrdersAccepted == e.acceptedOrders
 }
 
-// serves tells whether a server holds a model and keeps it.
+// serves reports whether the engine has a model that is neither retiring nor being
+// unloaded.
 func (e *engine) serves(name ident.ModelName) bool {
-	if _, goes := e.retiring[name]; goes {
+	if _, isRetiring := e.retiring[name]; isRetiring {
 		return false
 	}
 	return e.hasModel(name) && !e.isUnloading(name)
 }
 
 func (e *engine) hasModel(name ident.ModelName) bool {
-	return slices.Contains(e.held, name)
+	return slices.Contains(e.models, name)
 }
 
-// noteHeld takes in the models that the engine holds.
-func (e *engine) noteHeld(at time.Time, models []ident.ModelName) {
-	e.held = models
+// setModels sets the models that the engine has.
+func (e *engine) setModels(at time.Time, models []ident.ModelName) {
+	e.models = models
 	for _, name := range models {
-		if _, known := e.since[name]; !known {
-			e.since[name] = at
+		if _, known := e.loadedSince[name]; !known {
+			e.loadedSince[name] = at
 		}
 	}
-	for name := range e.since {
+	for name := range e.loadedSince {
 		if !e.hasModel(name) {
-			delete(e.since, name)
+			delete(e.loadedSince, name)
 		}
 	}
 }
 
-// changed has what is worked out of the server's state worked out anew.
-func (e *engine) changed() {
-	e.known = nil
-	e.measured = false
+// invalidateCaches drops the values that are derived from the engine's state.
+func (e *engine) invalidateCaches() {
+	e.cachedAdapters = nil
+	e.isFreeMemoryCached = false
 }
 
 func (e *engine) isLoading(name ident.ModelName) bool {
@@ -106,23 +111,24 @@
 	return e.pending != nil && e.pending.order.Kind == backend.UnloadModel && e.pending.order.Model == name
 }
 
-func (e *engine) dropResident(weights request.Weights) {
+func (e *engine) removeResident(weights request.Weights) {
 	e.report.Residents = slices.DeleteFunc(slices.Clone(e.report.Residents), func(r backend.Resident) bool {
 		return r.Model == weights.Model && r.Adapter == weights.Adapter
 	})
 }
 
-// free is the memory of a server that nothing has and no order may yet take.
-func (p *Planner) free(e *engine) unit.Bytes {
-	if !e.measured {
-		e.room = p.measureFree(e)
-		e.measured = true
+// freeMemory returns the engine's memory that is neither in use nor reserved by an
+// unsettled order.
+func (p *Planner) freeMemory(e *engine) unit.Bytes {
+	if !e.isFreeMemoryCached {
+		e.cachedFreeMemory = p.computeFreeMemory(e)
+		e.isFreeMemoryCached = true
 	}
-	return e.room
+	return e.cachedFreeMemory
 }
 
-func (p *Planner) measureFree(e *engine) unit.Bytes {
-	free := p.engine.Memory
+func (p *Planner) computeFreeMemory(e *engine) unit.Bytes {
+	free := p.engineSpec.Memory
 	for i := range e.report.Residents {
 		resident := &e.report.Residents[i]
 		if m, declared := p.models[resident.Model]; declared && resident.Adapter == "" {
@@ -134,7 +140,7 @@
 			free -= m.spec.Memory
 		}
 	}
-	for weights := range e.allAdapters() {
+	for weights := range e.possibleAdapters() {
 		if m, declared := p.models[weights.Model]; declared {
 			free -= m.spec.AdapterMemory
 		}
@@ -142,11 +148,11 @@
 	return free
 }
 
-// allAdapters gives the adapters that are on a server, on their way there, or may
-// be.
-func (e *engine) allAdapters() map[request.Weights]bool {
-	if e.known != nil {
-		return e.known
+// possibleAdapters returns the adapters that the engine has, is loading, or may have
+// because of an unsettled order.
+func (e *engine) possibleAdapters() map[request.Weights]bool {
+	if e.cachedAdapters != nil {
+		return e.cachedAdapters
 	}
 	all := make(map[request.Weights]bool)
 	for _, list := range [][]backend.Resident{e.report.Residents, e.report.Coming} {
@@ -156,18 +162,18 @@
 			}
 		}
 	}
-	for weights := range e.adapters {
+	for weights := range e.confirmedAdapters {
 		all[weights] = true
 	}
 	if e.pending != nil && e.pending.order.Kind == backend.LoadAdapter {
 		all[e.pending.weights()] = true
 	}
-	e.known = all
+	e.cachedAdapters = all
 	return all
 }
 
-// weights gives what the order is about.
-func (p *pending) weights() request.Weights {
+// weights returns the weights that the order loads or unloads.
+func (p *pendingOrder) weights() request.Weights {
 	return request.Weights{
 		Model:   p.order.Model,
 		Adapter: p.order.Adapter,
--- a/internal/control/loading/held.go
+++ b/internal/control/loading/loaded_models.go
@@ -7,28 +7,28 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Held is which models an engine holds in one life.
+// Held is the set of models that an engine has in one incarnation.
 type Held struct {
 	Incarnation ident.Incarnation
 	Models      []ident.ModelName
 }
 
-// Held gives the models of a word on an engine.
+// Held returns the models of an engine, without adapters.
 func (h *Holding) Held() Held {
-	held := Held{
+	loaded := Held{
 		Incarnation: h.Incarnation,
 	}
 	for i := range h.Holds {
 		if h.Holds[i].Adapter == "" {
-			held.Models = append(held.Models, h.Holds[i].Model)
+			loaded.Models = append(loaded.Models, h.Holds[i].Model)
 		}
 	}
-	return held
+	return loaded
 }
 
-// LoadsSince is how many loads may have begun on an engine since it was known to hold
-// something: those of the models that are new, and where the engine has begun anew, the
-// one that may have been under way before.
+// LoadsSince returns how many model loads may have started on an engine since an earlier
+// state: one for each new model, and if the engine has restarted, one more for a load that
+// may have been in progress before.
 func (h Held) LoadsSince(before Held) int {
 	loads := 0
 	if h.Incarnation != before.Incarnation {
@@ -43,15 +43,15 @@
 	return loads
 }
 
-// heldIn takes the models out of a report.
-func heldIn(report *backend.Report) Held {
-	held := Held{
+// modelsInReport returns the models of a report, without adapters.
+func modelsInReport(report *backend.Report) Held {
+	loaded := Held{
 		Incarnation: report.Incarnation,
 	}
 	for i := range report.Residents {
 		if report.Residents[i].Adapter == "" {
-			held.Models = append(held.Models, report.Residents[i].Model)
+			loaded.Models = append(loaded.Models, report.Residents[i].Model)
 		}
 	}
-	return held
+	return loaded
 }
--- a/internal/control/loading/loading.go
+++ b/internal/control/loading/loading.go
@@ -1,10 +1,16 @@
-// Package loading decides which models and adapters the engines of one service
-// hold, where each holds few and demand moves within seconds.
+// Package loading decides which models and adapters the engines of one service load. An
+// engine's memory holds only a few models, and demand shifts between models within seconds.
 //
-// A Planner belongs to the one host that may give orders. It hears reports,
-// demand and the answers to orders, and gives the next orders. It reads no clock
-// and does no I/O, so a new holder's planner comes to the same state from one
-// round of reports.
+// The main type is Planner. The leader, the one host that may send orders to engines, runs
+// one Planner for each service: it passes in the list of engines, their reports, the demand
+// counted by all hosts, and the answers to orders, and it sends the orders that Step
+// returns. A Planner reads no clock and does no I/O; one round of reports is enough for a
+// new leader's planner to know the state of the engines. It has no locks and starts no
+// goroutines: all calls must come from one goroutine.
+//
+// Other types are Holding, what is loaded on one engine, for routing requests; and Past and
+// Held, with which hosts track the loads of the current leader, so that the next one
+// respects the load rate limit of the weight store.
 //
 // # Usage
 //
@@ -20,21 +26,21 @@
 //
 // # Why memory is never overcommitted
 //
-// Engines count the orders that they accept, and an order names the count at which
-// it may take effect. Each order here is decided from a report of just that count,
-// and there is one order a server at a time: whatever arrives late, from this
-// holder or an earlier one, finds a count that has moved on, or moves it on
-// itself, and then the order decided here finds that. So an order never takes
-// effect in a state other than the one that it was decided in.
+// Engines count the orders that they accept, and each order names the count at which it may
+// take effect. The planner decides an order from a report with exactly that count, and has
+// at most one unsettled order for each engine. If an older order, of this leader or an
+// earlier one, arrives late, either the count has already passed its number, or the order
+// raises the count and the newer order is refused. So an order never takes effect in a
+// state other than the one for which it was decided.
 //
-// # What is decided, most needed first
+// # Priorities
 //
-//  1. A model that no server holds is loaded, in turn with models that have more work
-//     than their replicas can do.
-//  2. Adapters that are asked for are loaded where their model lies.
-//  3. Replicas follow demand: a model gets one where the work, spread over the engines,
-//     then lies most evenly, in free memory or where others make way.
-//  4. In calm, room is kept free, and idle models get second copies.
+//  1. Models without a replica are loaded, alternating with models that have more work than
+//     their replicas can do.
+//  2. Requested adapters are loaded onto engines that serve their model.
+//  3. Replicas follow demand: a model gets a replica where this balances the engines best, in
+//     free memory or in memory of replicas that are retired for it.
+//  4. While demand is steady, memory is kept free, and idle models get spare replicas.
 package loading
 
 import (
@@ -49,140 +55,147 @@
 	"cicadaloom/internal/domain/route"
 )
 
-// Options are the bounds that the deployment sets. Zero fields take the defaults.
+// Options are limits set by the deployment. Zero fields select the defaults.
 type Options struct {
-	// Window and Overshoot bound how many loads from the weight store may begin in
-	// any span of that length: LoadsPerSecond x Window x Overshoot.
+	// Window and Overshoot limit the loads from the weight store: within any span of length
+	// Window, at most LoadsPerSecond x Window x Overshoot may start.
 	Window    time.Duration
 	Overshoot float64
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	defaultWindow    = 5 * time.Second
 	defaultOvershoot = 1.0
 )
 
-// Bounds on planning.
+// Timing and limits of orders.
 const (
-	// retireNotice is how long before an unload the hosts are told to send
-	// requests elsewhere: two rounds of their exchange with the holder.
-	retireNotice = 500 * time.Millisecond
-	// resendAfter is when an order without an answer is sent again. The same count
-	// stands in it, so that at most one of the two takes effect.
+	// retirementNotice is how long before an unload the hosts are told to send requests
+	// elsewhere: two rounds of their exchange with the leader.
+	retirementNotice = 500 * time.Millisecond
+	// resendAfter is when an unanswered order is sent again. It names the same count, so at
+	// most one of the two takes effect.
 	resendAfter = 700 * time.Millisecond
-	// reportTrust is how long a report is decided by.
-	reportTrust = 1500 * time.Millisecond
-	// startTrust is how long an order that was accepted may go without a sign of
-	// it in reports, which lag by some hundred milliseconds.
-	startTrust = 2 * time.Second
-	// reportLag is how long reports may lag behind an accepted order: they are some
-	// hundred milliseconds old when they come.
-	reportLag = 800 * time.Millisecond
-	// coldLoads is how many loads may begin at once over the pace.
-	coldLoads = 2
-	// unresolvedLoad is how long a load that got no answer may still begin.
-	unresolvedLoad = 13 * time.Second
+	// maxReportAge is the age above which a report is not used for decisions.
+	maxReportAge = 1500 * time.Millisecond
+	// orderStartTimeout is how long reports may show no sign of an accepted order before it
+	// counts as lost. Reports lag by some hundred milliseconds.
+	orderStartTimeout = 2 * time.Second
+	// maxReportLag is how long a report with a lower order count than the answers is
+	// ignored as out of date. Reports are some hundred milliseconds old when they arrive.
+	maxReportLag = 800 * time.Millisecond
+	// loadBurst is how many loads may start at once above the rate limit.
+	loadBurst = 2
+	// unansweredLoadTime is how long after its order was sent an unanswered load may still
+	// start.
+	unansweredLoadTime = 13 * time.Second
 )
 
-// Server is an engine that orders may go to.
+// Server is an engine that may receive orders.
 type Server struct {
 	backend.Server
 	Incarnation ident.Incarnation
 	Leaving     bool
 }
 
-// Planner plans for the engines of one service. It belongs to one goroutine.
+// Planner plans the loads and unloads on the engines of one service. It must be used from
+// one goroutine only.
 type Planner struct {
-	options Options
-	engine  *route.Engine
-	models  map[ident.ModelName]*model
-	engines map[ident.ServerName]*engine
-	// list has the engines in the order of their names.
-	list   []*engine
-	demand map[request.Weights]*rate
-	// byModel is the demand by model at summedAt.
-	byModel  map[ident.ModelName]*modelDemand
-	summedAt time.Time
-	// goalWork is the goal that follows from it, 0 until it is asked for.
-	goalWork float64
-	// lies is how the work lies on the engines, nil until it is asked for in a step.
-	lies *spread
-	// heard tells that requests have come since the planner began.
-	heard bool
-	// nowhere counts the models that are held nowhere, crowded tells that the engines
-	// can't hold all of them together.
-	nowhere int
-	crowded bool
-	// missingSince is when a model was first seen to be held nowhere.
+	options    Options
+	engineSpec *route.Engine
+	models     map[ident.ModelName]*model
+	engines    map[ident.ServerName]*engine
+	// sortedEngines has the engines sorted by name.
+	sortedEngines []*engine
+	demand        map[request.Weights]*smoothedDemand
+	// demandByModel is the demand by model, summed at demandSummedAt.
+	demandByModel  map[ident.ModelName]*modelDemand
+	demandSummedAt time.Time
+	// cachedWorkGoal is the result of workGoal for that demand, 0 until it is computed.
+	cachedWorkGoal float64
+	// distribution is the result of currentDistribution, nil until it is computed in a
+	// step.
+	distribution *workDistribution
+	// receivedRequests is set once a host has reported requests.
+	receivedRequests bool
+	// missingModelCount is the number of models without a replica. oversubscribed is the
+	// result of isOversubscribed.
+	missingModelCount int
+	oversubscribed    bool
+	// missingSince is when each model without a replica was first seen to have none.
 	missingSince map[ident.ModelName]time.Time
-	// begun are the instants at which loads from the weight store may have begun.
-	begun []time.Time
-	// before has the models that engines held when the planner began, as far as was known.
-	before map[ident.ServerName]Held
-	// begunAt is when the planner took its first step.
-	begunAt   time.Time
-	decisions []Decision
+	// loadStarts are the instants at which loads from the weight store may have started.
+	loadStarts []time.Time
+	// modelsBefore are the models that engines had when the planner was created, nil if
+	// unknown.
+	modelsBefore map[ident.ServerName]Held
+	// startedAt is when the planner took its first step.
+	startedAt   time.Time
+	retirements []Retirement
 }
 
-// Decision is one replica that has to make way, and why.
-type Decision struct {
+// Retirement is the decision to unload one replica, and its reason.
+type Retirement struct {
 	Server ident.ServerName
 	Model  ident.ModelName
-	// For is the model that needs the room; empty where it is kept free.
+	// For is the model that needs the memory; empty if the memory is to be kept free.
 	For ident.ModelName
-	// Work is the demand for Model, Left what each of the Replicas that stay will
-	// have of it, with what else spoke against the server.
+	// Work is the expected work for Model. Left is the score by which the replica was
+	// chosen: the work for each remaining replica plus penalties, or the value of the move
+	// that needs the memory. Replicas is the number of remaining replicas.
 	Work     float64
 	Left     float64
 	Replicas int
 }
 
-// TakeDecisions gives the decisions since the last call.
-func (p *Planner) TakeDecisions() []Decision {
-	taken := p.decisions
-	p.decisions = nil
+// TakeDecisions returns the retirements decided since the last call.
+func (p *Planner) TakeDecisions() []Retirement {
+	taken := p.retirements
+	p.retirements = nil
 	return taken
 }
 
-// model is a declared model.
+// model is a model that the configuration declares.
 type model struct {
 	spec *route.Model
-	// replicas counts the servers that hold the model and keep it, or load it.
+	// replicas is the number of engines that have the model and keep it, or are loading it.
 	replicas int
-	// ready counts those that serve it.
+	// ready is the number of engines that serve it.
 	ready int
-	// on has these servers, inRegion how many of them each region has.
-	on       []*engine
-	inRegion map[ident.Region]int
+	// engines are the engines counted by replicas; replicasByRegion has their number by
+	// region.
+	engines          []*engine
+	replicasByRegion map[ident.Region]int
 }
 
-// add counts a server that holds the model, or will.
-func (m *model) add(e *engine) {
+// addReplica counts a replica on an engine that has the model or is loading it.
+func (m *model) addReplica(e *engine) {
 	m.replicas++
-	m.on = append(m.on, e)
-	m.inRegion[e.Region]++
+	m.engines = append(m.engines, e)
+	m.replicasByRegion[e.Region]++
 }
 
-// remove counts it no longer.
-func (m *model) remove(e *engine) {
+// removeReplica reverts addReplica.
+func (m *model) removeReplica(e *engine) {
 	m.replicas--
-	m.on = slices.DeleteFunc(m.on, func(o *engine) bool { return o == e })
-	m.inRegion[e.Region]--
+	m.engines = slices.DeleteFunc(m.engines, func(other *engine) bool { return other == e })
+	m.replicasByRegion[e.Region]--
 }
 
-// on gives the servers that hold a model, or will; none for one that isn't declared.
-func (p *Planner) on(name ident.ModelName) []*engine {
+// enginesWith returns the engines that have a model or are loading it; none for a model
+// that is not declared.
+func (p *Planner) enginesWith(name ident.ModelName) []*engine {
 	if m, declared := p.models[name]; declared {
-		return m.on
+		return m.engines
 	}
 	return nil
 }
 
-// served gives the declared models that a server serves.
-func (p *Planner) served(e *engine) iter.Seq2[ident.ModelName, *model] {
+// servedModels iterates over the declared models that an engine serves.
+func (p *Planner) servedModels(e *engine) iter.Seq2[ident.ModelName, *model] {
 	return func(yield func(ident.ModelName, *model) bool) {
-		for _, name := range e.held {
+		for _, name := range e.models {
 			if m, declared := p.models[name]; declared && e.serves(name) && !yield(name, m) {
 				return
 			}
@@ -190,7 +203,7 @@
 	}
 }
 
-// NewPlanner gives a planner that knows nothing.
+// NewPlanner returns a planner without configuration, engines or demand.
 func NewPlanner(options Options) *Planner {
 	options.Window = cmp.Or(options.Window, defaultWindow)
 	options.Overshoot = cmp.Or(options.Overshoot, defaultOvershoot)
@@ -198,31 +211,31 @@
 		options: options,
 		models:  make(map[ident.ModelName]*model),
 		engines: make(map[ident.ServerName]*engine),
-		demand:  make(map[request.Weights]*rate),
+		demand:  make(map[request.Weights]*smoothedDemand),
 
 		missingSince: make(map[ident.ModelName]time.Time),
 	}
 }
 
-// Declare takes in what the configuration says of the service's engines.
+// Declare sets the configuration of the service's engines.
 func (p *Planner) Declare(declared *route.Engine) {
-	if p.engine == declared {
+	if p.engineSpec == declared {
 		return
 	}
-	p.engine = declared
+	p.engineSpec = declared
 	p.models = make(map[ident.ModelName]*model, len(declared.Models))
 	for i := range declared.Models {
 		p.models[declared.Models[i].Name] = &model{
-			spec:     &declared.Models[i],
-			inRegion: make(map[ident.Region]int),
+			spec:             &declared.Models[i],
+			replicasByRegion: make(map[ident.Region]int),
 		}
 	}
 	for _, e := range p.engines {
-		e.changed()
+		e.invalidateCaches()
 	}
 }
 
-// SetServers takes in which servers there are.
+// SetServers sets the list of engines.
 func (p *Planner) SetServers(servers []Server) {
 	seen := make(map[ident.ServerName]bool, len(servers))
 	for _, server := range servers {
@@ -230,13 +243,13 @@
 		e, known := p.engines[server.Name]
 		if !known || e.Incarnation != server.Incarnation || e.Address != server.Address {
 			if known && e.reported {
-				p.beganAnew(&server)
+				p.noteRestart(&server)
 			}
 			e = &engine{
-				adapters: make(map[request.Weights]time.Time),
-				retiring: make(map[ident.ModelName]time.Time),
-				dropping: make(map[ident.ModelName]bool),
-				since:    make(map[ident.ModelName]time.Time),
+				confirmedAdapters: make(map[request.Weights]time.Time),
+				retiring:          make(map[ident.ModelName]time.Time),
+				retiringLast:      make(map[ident.ModelName]bool),
+				loadedSince:       make(map[ident.ModelName]time.Time),
 			}
 			p.engines[server.Name] = e
 		}
@@ -247,36 +260,36 @@
 			delete(p.engines, name)
 		}
 	}
-	p.list = p.list[:0]
+	p.sortedEngines = p.sortedEngines[:0]
 	for _, e := range p.engines {
-		p.list = append(p.list, e)
+		p.sortedEngines = append(p.sortedEngines, e)
 	}
-	slices.SortFunc(p.list, func(a, b *engine) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(p.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Report takes in an engine's word. One of another life, or from before an order
-// that the engine has accepted since, says nothing of what holds now. But where
-// reports go on to show less than the answers told, the answers were wrong: an
-// engine that was not believed any more would count as dead, and all it holds as
-// gone.
+// Report applies an engine's report. Reports of another incarnation are ignored, and so are
+// reports that do not count an order yet which the engine has accepted. If reports keep a
+// lower count than the answers for longer than maxReportLag, the answers were wrong and the
+// report is applied: an engine whose reports were ignored for good would count as lost with
+// all its models.
 func (p *Planner) Report(report *backend.Report) {
 	e, known := p.engines[report.Server]
 	if !known || report.Incarnation != e.Incarnation {
 		return
 	}
-	if report.OrdersAccepted < e.accepted && report.At.Sub(e.acceptedAt) < reportLag {
+	if report.OrdersAccepted < e.acceptedOrders && report.At.Sub(e.acceptedAt) < maxReportLag {
 		return
 	}
-	held := heldIn(report)
-	p.noteForeign(e, report, held)
+	loaded := modelsInReport(report)
+	p.countForeignLoads(e, report, loaded)
 	e.report = *report
 	e.reported = true
-	e.noteHeld(report.At, held.Models)
-	e.changed()
-	e.accepted = report.OrdersAccepted
-	for weights := range e.adapters {
+	e.setModels(report.At, loaded.Models)
+	e.invalidateCaches()
+	e.acceptedOrders = report.OrdersAccepted
+	for weights := range e.confirmedAdapters {
 		if !e.hasModel(weights.Model) {
-			delete(e.adapters, weights)
+			delete(e.confirmedAdapters, weights)
 		}
 	}
 	for name := range e.retiring {
@@ -286,99 +299,99 @@
 	}
 }
 
-// Answered takes in what an engine said of the order that it was sent.
+// Answered applies an engine's answer to an order.
 func (p *Planner) Answered(now time.Time, server ident.ServerName, order *backend.CountedOrder, answer backend.OrderAnswer) {
 	e, known := p.engines[server]
 	if !known || e.pending == nil || e.pending.order.ID != order.ID {
 		return
 	}
 	e.pending.unanswered = false
-	e.changed()
+	e.invalidateCaches()
 	switch answer {
 	case backend.OrderAccepted, backend.OrderHolds:
-		p.accept(now, e, answer)
+		p.handleAccepted(now, e, answer)
 	case backend.OrderUnknown:
 		e.pending.unanswered = true
 	default:
 		e.pending = nil
-		e.waitUntil = now.Add(turnedDownPause)
+		e.pausedUntil = now.Add(refusedOrderPause)
 	}
 }
 
-// turnedDownPause is how long a server that turned an order down gets no other:
-// until a report shows what has changed.
-const turnedDownPause = 250 * time.Millisecond
+// refusedOrderPause is how long an engine gets no further order after it refused one, so
+// that a report can show what has changed.
+const refusedOrderPause = 250 * time.Millisecond
 
-func (p *Planner) accept(now time.Time, e *engine, answer backend.OrderAnswer) {
+func (p *Planner) handleAccepted(now time.Time, e *engine, answer backend.OrderAnswer) {
 	order := &e.pending.order
 	weights := e.pending.weights()
 	switch order.Kind {
 	case backend.LoadAdapter:
-		e.adapters[weights] = now.Add(adapterTime)
+		e.confirmedAdapters[weights] = now.Add(adapterLoadTime)
 	case backend.UnloadAdapter:
-		delete(e.adapters, weights)
-		e.dropResident(weights)
+		delete(e.confirmedAdapters, weights)
+		e.removeResident(weights)
 	}
 	if answer == backend.OrderHolds {
 		e.pending = nil
-		e.waitUntil = now.Add(turnedDownPause)
+		e.pausedUntil = now.Add(refusedOrderPause)
 		return
 	}
-	e.accepted = order.AfterOrders + 1
+	e.acceptedOrders = order.AfterOrders + 1
 	e.acceptedAt = now
 	e.pending.acceptedAt = now
 	if order.Adapter != "" {
-		e.pending = nil // engines carry it out beside others
+		e.pending = nil // engines load and unload adapters alongside other orders
 	}
 }
 
-// adapterTime is how long an adapter takes to come, with what the network adds.
-const adapterTime = 40 * time.Millisecond
+// adapterLoadTime is how long an adapter load takes, including the network round trip.
+const adapterLoadTime = 40 * time.Millisecond
 
-// settle ends orders whose effect reports show.
-func (p *Planner) settle(now time.Time) {
-	for _, e := range p.list {
-		order := e.pending
-		if order == nil || !e.reported {
+// settleOrders ends the pending orders whose effect reports show, and those that were lost.
+func (p *Planner) settleOrders(now time.Time) {
+	for _, e := range p.sortedEngines {
+		pending := e.pending
+		if pending == nil || !e.reported {
 			continue
 		}
-		taken := e.report.OrdersAccepted > order.order.AfterOrders
+		isAccepted := e.report.OrdersAccepted > pending.order.AfterOrders
 		switch {
-		case taken && !e.report.OrderUnderWay:
+		case isAccepted && !e.report.OrderUnderWay:
 			e.pending = nil
-			e.changed()
-		case !taken && !order.acceptedAt.IsZero() && now.Sub(order.acceptedAt) > startTrust:
+			e.invalidateCaches()
+		case !isAccepted && !pending.acceptedAt.IsZero() && now.Sub(pending.acceptedAt) > orderStartTimeout:
 			e.pending = nil // the engine has lost the order
-			e.changed()
-			e.accepted = e.report.OrdersAccepted
+			e.invalidateCaches()
+			e.acceptedOrders = e.report.OrdersAccepted
 		}
 	}
 }
 
-// Step gives the next orders: new ones, and those to be sent again.
+// Step returns the orders to send now: new ones, and unanswered ones to send again.
 func (p *Planner) Step(now time.Time) []backend.CountedOrder {
-	if p.engine == nil {
+	if p.engineSpec == nil {
 		return nil
 	}
-	if p.begunAt.IsZero() {
-		p.begunAt = now
+	if p.startedAt.IsZero() {
+		p.startedAt = now
 	}
-	p.settle(now)
-	p.forgetBegun(now)
-	p.count(now)
+	p.settleOrders(now)
+	p.expireLoadStarts(now)
+	p.countReplicas(now)
 	var orders []backend.CountedOrder
-	orders = append(orders, p.resend(now)...)
-	orders = append(orders, p.loadMissing(now)...)
+	orders = append(orders, p.resendUnanswered(now)...)
+	orders = append(orders, p.loadMissingModels(now)...)
 	orders = append(orders, p.loadAdapters(now)...)
-	orders = append(orders, p.followDemand(now)...)
-	orders = append(orders, p.prepare(now)...)
+	orders = append(orders, p.rebalance(now)...)
+	orders = append(orders, p.preloadIdleModels(now)...)
 	return append(orders, p.unloadRetired(now)...)
 }
 
-// resend gives the orders that got no answer once more.
-func (p *Planner) resend(now time.Time) []backend.CountedOrder {
+// resendUnanswered returns the orders that have had no answer for resendAfter.
+func (p *Planner) resendUnanswered(now time.Time) []backend.CountedOrder {
 	var orders []backend.CountedOrder
-	for _, e := range p.list {
+	for _, e := range p.sortedEngines {
 		if e.pending == nil || !e.pending.unanswered || now.Sub(e.pending.sentAt) < resendAfter || e.Leaving {
 			continue
 		}
@@ -389,50 +402,50 @@
 	return orders
 }
 
-// counts tells that what a server holds is there to be asked for.
-func (p *Planner) counts(now time.Time, e *engine) bool {
-	return !e.Leaving && e.reported && now.Sub(e.report.At) <= deadAfter
+// isAvailable reports whether the engine's models can serve requests.
+func (p *Planner) isAvailable(now time.Time, e *engine) bool {
+	return !e.Leaving && e.reported && now.Sub(e.report.At) <= reportTimeout
 }
 
-// count counts the replicas of each model.
-func (p *Planner) count(now time.Time) {
-	p.lies = nil
+// countReplicas counts the replicas of each model.
+func (p *Planner) countReplicas(now time.Time) {
+	p.distribution = nil
 	for _, m := range p.models {
 		m.replicas = 0
 		m.ready = 0
-		m.on = m.on[:0]
-		clear(m.inRegion)
+		m.engines = m.engines[:0]
+		clear(m.replicasByRegion)
 	}
-	for _, e := range p.list {
-		if p.counts(now, e) {
-			p.countOn(e)
+	for _, e := range p.sortedEngines {
+		if p.isAvailable(now, e) {
+			p.countReplicasOn(e)
 		}
 	}
-	p.crowded = p.isCrowded()
-	p.nowhere = 0
+	p.oversubscribed = p.isOversubscribed()
+	p.missingModelCount = 0
 	for _, m := range p.models {
 		if m.replicas == 0 {
-			p.nowhere++
+			p.missingModelCount++
 		}
 	}
 }
 
-// countOn counts the replicas on one server.
-func (p *Planner) countOn(e *engine) {
-	for _, m := range p.served(e) {
-		m.add(e)
+// countReplicasOn counts the replicas on one engine.
+func (p *Planner) countReplicasOn(e *engine) {
+	for _, m := range p.servedModels(e) {
+		m.addReplica(e)
 		m.ready++
 	}
 	if e.pending == nil || e.pending.order.Kind != backend.LoadModel || e.serves(e.pending.order.Model) {
 		return
 	}
 	if m, declared := p.models[e.pending.order.Model]; declared {
-		m.add(e)
+		m.addReplica(e)
 	}
 }
 
-// order books an order to a server.
-func (p *Planner) order(now time.Time, e *engine, kind backend.OrderKind, weights request.Weights) backend.CountedOrder {
+// createOrder creates an order and records it as the engine's pending order.
+func (p *Planner) createOrder(now time.Time, e *engine, kind backend.OrderKind, weights request.Weights) backend.CountedOrder {
 	order := backend.CountedOrder{
 		Order: backend.Order{
 			ID:          ident.OrderID(string(e.Name) + "/" + string(kind) + "/" + now.Format(time.RFC3339Nano)),
@@ -442,10 +455,10 @@
 			Adapter:     weights.Adapter,
 		},
 		Server:      e.Name,
-		AfterOrders: e.accepted,
+		AfterOrders: e.acceptedOrders,
 	}
-	e.changed()
-	e.pending = &pending{
+	e.invalidateCaches()
+	e.pending = &pendingOrder{
 		order:  order,
 		sentAt: now,
 	}
