--- a/internal/control/balance/balance.go
+++ b/internal/control/balance/balance.go
@@ -31,9 +31,9 @@
 // lists the candidate engines, and gives a ticket for the engine that the scheduler
 // reserved.
 //
-//	candidates, verdict := pool.Offers(now, ask)
+//	candidates, verdict := pool.Offers(now, criteria)
 //	...
-//	ticket := pool.TakeReserved(now, ask, reservation)
+//	ticket := pool.TakeReserved(now, criteria, reservation)
 //
 // # How servers compare
 //
--- a/internal/control/balance/balance_test.go
+++ b/internal/control/balance/balance_test.go
@@ -42,11 +42,11 @@
 	return pool
 }
 
-func ask(dice uint64, tried ...ident.ServerName) Ask {
+func newCriteria(random uint64, tried ...ident.ServerName) Ask {
 	return Ask{
 		Weights: weights,
 		Prompt:  1000,
-		Dice:    dice,
+		Dice:    random,
 		Tried:   tried,
 	}
 }
@@ -59,9 +59,9 @@
 		},
 	})
 	require.Equal(t, NoneHolds, verdict)
-	_, verdict = pool.Take(start, ask(1, "a"))
+	_, verdict = pool.Take(start, newCriteria(1, "a"))
 	require.Equal(t, NoneTakes, verdict)
-	ticket, verdict := pool.Take(start, ask(1))
+	ticket, verdict := pool.Take(start, newCriteria(1))
 	require.Equal(t, Found, verdict)
 	require.Equal(t, ident.ServerName("a"), ticket.Server)
 }
@@ -71,9 +71,9 @@
 func TestTakePrefersOwnRegionUntilItQueues(t *testing.T) {
 	pool := newPool(engine("near", "n1", "north"), engine("far", "s1", "south"))
 	far := 0
-	for dice := range uint64(12) {
-		ticket, _ := pool.Take(start, ask(dice))
-		if dice < 2 {
+	for random := range uint64(12) {
+		ticket, _ := pool.Take(start, newCriteria(random))
+		if random < 2 {
 			require.Equal(t, ident.ServerName("near"), ticket.Server)
 		}
 		if ticket.Server == "far" {
@@ -89,7 +89,7 @@
 	counts := make(map[ident.ServerName]int)
 	for host := range uint64(60) {
 		pool := newPool(engine("a", "n1", "north"), engine("b", "n1", "north"), engine("c", "n1", "north"))
-		ticket, _ := pool.Take(start, ask(splitmix.Mix(host)))
+		ticket, _ := pool.Take(start, newCriteria(splitmix.Mix(host)))
 		counts[ticket.Server]++
 	}
 	for _, name := range []ident.ServerName{"a", "b", "c"} {
@@ -101,18 +101,18 @@
 // the crashed one has had time to come back, and then one at a time.
 func TestFailedServerIsEjectedThenProbed(t *testing.T) {
 	pool := newPool(engine("a", "n1", "north"), engine("b", "s1", "south"))
-	ticket, _ := pool.Take(start, ask(1))
+	ticket, _ := pool.Take(start, newCriteria(1))
 	require.Equal(t, ident.ServerName("a"), ticket.Server)
 	ticket.Done(start, Unreached)
-	ticket, _ = pool.Take(start.Add(firstEjection/2), ask(2))
+	ticket, _ = pool.Take(start.Add(firstEjection/2), newCriteria(2))
 	require.Equal(t, ident.ServerName("b"), ticket.Server)
 	later := start.Add(2 * firstEjection)
-	probe, _ := pool.Take(later, ask(3))
+	probe, _ := pool.Take(later, newCriteria(3))
 	require.Equal(t, ident.ServerName("a"), probe.Server)
-	other, _ := pool.Take(later, ask(4))
+	other, _ := pool.Take(later, newCriteria(4))
 	require.Equal(t, ident.ServerName("b"), other.Server, "one at a time")
 	probe.Done(later, Answered)
-	back, _ := pool.Take(later, ask(5))
+	back, _ := pool.Take(later, newCriteria(5))
 	require.Equal(t, ident.ServerName("a"), back.Server)
 }
 
@@ -122,13 +122,13 @@
 func TestServerWithHigherErrorShareIsAvoided(t *testing.T) {
 	pool := newPool(engine("a", "n1", "north"), engine("b", "n1", "north"), engine("c", "n1", "north"))
 	taken := 0
-	for dice := range uint64(400) {
-		ticket, _ := pool.Take(start, ask(splitmix.Mix(dice)))
+	for random := range uint64(400) {
+		ticket, _ := pool.Take(start, newCriteria(splitmix.Mix(random)))
 		result := Answered
-		if ticket.Server == "a" && dice%2 == 0 {
+		if ticket.Server == "a" && random%2 == 0 {
 			result = Failed
 		}
-		if ticket.Server == "a" && dice >= 100 {
+		if ticket.Server == "a" && random >= 100 {
 			taken++
 		}
 		ticket.RecordFirstByte(start.Add(60 * time.Millisecond))
@@ -144,20 +144,20 @@
 	retiring := engine("a", "n1", "north")
 	retiring.Retiring = []ident.ModelName{"m"}
 	pool := newPool(retiring, engine("b", "s1", "south"))
-	for dice := range uint64(10) {
-		ticket, _ := pool.Take(start, ask(dice))
+	for random := range uint64(10) {
+		ticket, _ := pool.Take(start, newCriteria(random))
 		require.Equal(t, ident.ServerName("b"), ticket.Server)
 		ticket.Done(start, Answered)
 	}
 	pool.SetServers([]Server{retiring})
-	ticket, _ := pool.Take(start, ask(1))
+	ticket, _ := pool.Take(start, newCriteria(1))
 	require.Equal(t, ident.ServerName("a"), ticket.Server)
 
 	refusing := newPool(engine("a", "n1", "north"), engine("b", "s1", "south"))
-	ticket, _ = refusing.Take(start, ask(1))
+	ticket, _ = refusing.Take(start, newCriteria(1))
 	require.Equal(t, ident.ServerName("a"), ticket.Server)
 	ticket.Done(start, Refused)
-	ticket, _ = refusing.Take(start, ask(2))
+	ticket, _ = refusing.Take(start, newCriteria(2))
 	require.Equal(t, ident.ServerName("b"), ticket.Server)
 }
 
@@ -186,12 +186,12 @@
 	leaving.Leaving = true
 	pool := newPool(leaving)
 	pool.SetServers([]Server{engine("a", "n1", "north")})
-	_, verdict := pool.Take(start, ask(1))
+	_, verdict := pool.Take(start, newCriteria(1))
 	require.Equal(t, NoneHolds, verdict)
 	restarted := engine("a", "n1", "north")
 	restarted.Incarnation = "2"
 	pool.SetServers([]Server{restarted})
-	_, verdict = pool.Take(start, ask(1))
+	_, verdict = pool.Take(start, newCriteria(1))
 	require.Equal(t, Found, verdict)
 }
 
@@ -201,7 +201,7 @@
 	pool := newPool(engine("a", "n1", "north"))
 	const perToken = 6 * time.Microsecond
 	for i := range 60 {
-		ticket, _ := pool.Take(start, ask(uint64(i)))
+		ticket, _ := pool.Take(start, newCriteria(uint64(i)))
 		took := 1000*perToken + 4*time.Millisecond
 		if i%3 == 0 {
 			took += 80 * time.Millisecond // waits behind other hosts' prompts
@@ -220,7 +220,7 @@
 func TestDemandCountsSlotsOfAnswers(t *testing.T) {
 	pool := newPool(engine("a", "n1", "north")) // 8 slots
 	for i := range 60 {
-		ticket, _ := pool.Take(start, ask(uint64(i)))
+		ticket, _ := pool.Take(start, newCriteria(uint64(i)))
 		ticket.RecordFirstByte(start.Add(20 * time.Millisecond))
 		ticket.Done(start.Add(2020*time.Millisecond), Answered)
 	}
@@ -255,7 +255,7 @@
 	pool.SetServers([]Server{engine("a", "n1", "north")})
 	<-changed
 	changed = pool.Changed()
-	ticket, _ := pool.Take(start, ask(1))
+	ticket, _ := pool.Take(start, newCriteria(1))
 	ticket.Done(start, Answered)
 	<-changed
 }
--- a/internal/control/balance/bench_test.go
+++ b/internal/control/balance/bench_test.go
@@ -16,7 +16,7 @@
 	pool := newPool(servers...)
 	b.ReportAllocs()
 	for i := range b.N {
-		ticket, verdict := pool.Take(start, ask(uint64(i)))
+		ticket, verdict := pool.Take(start, newCriteria(uint64(i)))
 		if verdict != Found {
 			b.Fatal("no server was found")
 		}
--- a/internal/control/balance/choose.go
+++ b/internal/control/balance/choose.go
@@ -44,9 +44,9 @@
 	// SendAt is when the request is to be sent.
 	SendAt time.Time
 
-	pool   *Pool
-	server *server
-	ask    Ask
+	pool     *Pool
+	server   *server
+	criteria Ask
 	// measuresPrefill reports that the prefill can be measured: no other prompt of this
 	// host was waiting for its first byte at the server.
 	measuresPrefill bool
@@ -57,15 +57,15 @@
 }
 
 // Take chooses the server with the lowest cost and counts the request as in flight there.
-func (p *Pool) Take(now time.Time, ask Ask) (*Ticket, Verdict) {
+func (p *Pool) Take(now time.Time, criteria Ask) (*Ticket, Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best *server
 	var lowest float64
-	random := ask.Dice
-	verdict := p.eachAvailable(now, &ask, func(s *server, baseline float64) {
+	random := criteria.Dice
+	verdict := p.eachAvailable(now, &criteria, func(s *server, baseline float64) {
 		random = splitmix.Mix(random)
-		cost := float64(p.cost(s, &ask, baseline)) * (1 + costJitter*float64(random%1024)/1024)
+		cost := float64(p.cost(s, &criteria, baseline)) * (1 + costJitter*float64(random%1024)/1024)
 		if best == nil || cost < lowest {
 			best, lowest = s, cost
 		}
@@ -73,17 +73,17 @@
 	if best == nil {
 		return nil, verdict
 	}
-	return p.newTicket(now, best, ask), Found
+	return p.newTicket(now, best, criteria), Found
 }
 
 // Offers returns the engines that can answer a prompt now, for a prompt scheduler to choose
 // among.
-func (p *Pool) Offers(now time.Time, ask Ask) ([]pacing.Candidate, Verdict) {
+func (p *Pool) Offers(now time.Time, criteria Ask) ([]pacing.Candidate, Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var candidates []pacing.Candidate
-	verdict := p.eachAvailable(now, &ask, func(s *server, baseline float64) {
-		prefillSeconds := p.prefillSeconds(ask.Weights.Model, s.uncachedTokens(&ask))
+	verdict := p.eachAvailable(now, &criteria, func(s *server, baseline float64) {
+		prefillSeconds := p.prefillSeconds(criteria.Weights.Model, s.uncachedTokens(&criteria))
 		prefillTime := time.Duration(prefillSeconds * float64(time.Second))
 		candidates = append(candidates, pacing.Candidate{
 			Server:  s.info.Name,
@@ -109,18 +109,18 @@
 
 // TakeReserved counts a request as in flight at the reserved engine, to be sent at the
 // reservation's time. It returns nil if the engine has stopped accepting requests.
-func (p *Pool) TakeReserved(now time.Time, ask Ask, reservation pacing.Slot) *Ticket {
+func (p *Pool) TakeReserved(now time.Time, criteria Ask, reservation pacing.Slot) *Ticket {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, known := p.servers[reservation.Server]
-	if !known || !p.canAnswer(s, &ask) || !s.isAvailable(now, p.serverLimit) {
+	if !known || !p.canAnswer(s, &criteria) || !s.isAvailable(now, p.serverLimit) {
 		return nil
 	}
-	return p.newTicket(reservation.At, s, ask)
+	return p.newTicket(reservation.At, s, criteria)
 }
 
-func (p *Pool) newTicket(sendAt time.Time, s *server, ask Ask) *Ticket {
-	prefillSeconds := p.prefillSeconds(ask.Weights.Model, s.uncachedTokens(&ask))
+func (p *Pool) newTicket(sendAt time.Time, s *server, criteria Ask) *Ticket {
+	prefillSeconds := p.prefillSeconds(criteria.Weights.Model, s.uncachedTokens(&criteria))
 	ticket := &Ticket{
 		Server:            s.info.Name,
 		Incarnation:       s.info.Incarnation,
@@ -128,8 +128,8 @@
 		ExpectedFirstByte: p.expectedFirstByte(s, prefillSeconds) + p.networkCost(s),
 		pool:              p,
 		server:            s,
-		ask:               ask,
-		measuresPrefill:   s.ownUnstarted == 0 && ask.ownTokens() >= minSampleTokens,
+		criteria:          criteria,
+		measuresPrefill:   s.ownUnstarted == 0 && criteria.ownTokens() >= minSampleTokens,
 		SendAt:            sendAt,
 	}
 	if s.info.Kind == backend.KindEngine {
@@ -143,18 +143,18 @@
 
 // eachAvailable visits the servers that accept a request now. The verdict gives the reason
 // if there are none.
-func (p *Pool) eachAvailable(now time.Time, ask *Ask, visit func(s *server, baseline float64)) Verdict {
+func (p *Pool) eachAvailable(now time.Time, criteria *Ask, visit func(s *server, baseline float64)) Verdict {
 	verdict := NoneHolds
-	isKept := p.isModelKept(ask.Weights.Model)
+	isKept := p.isModelKept(criteria.Weights.Model)
 	baseline := p.baselineErrorShare()
 	for _, s := range p.list {
-		if !p.canAnswer(s, ask) || isKept && s.retiring[ask.Weights.Model] {
+		if !p.canAnswer(s, criteria) || isKept && s.retiring[criteria.Weights.Model] {
 			continue
 		}
 		if verdict == NoneHolds && !s.info.Leaving {
 			verdict = NoneTakes
 		}
-		if !s.isAvailable(now, p.serverLimit) || slices.Contains(ask.Tried, s.info.Name) {
+		if !s.isAvailable(now, p.serverLimit) || slices.Contains(criteria.Tried, s.info.Name) {
 			continue
 		}
 		visit(s, baseline)
@@ -162,8 +162,8 @@
 	return verdict
 }
 
-func (p *Pool) canAnswer(s *server, ask *Ask) bool {
-	return s.info.Kind != backend.KindEngine || s.holds[ask.Weights]
+func (p *Pool) canAnswer(s *server, criteria *Ask) bool {
+	return s.info.Kind != backend.KindEngine || s.holds[criteria.Weights]
 }
 
 // isModelKept reports whether some server holds a model and is not about to unload it.
@@ -181,9 +181,9 @@
 
 // cost is the expected time to the first byte, increased by an error share above the
 // baseline.
-func (p *Pool) cost(s *server, ask *Ask, baseline float64) time.Duration {
-	tokens := s.uncachedTokens(ask)
-	return p.expectedFirstByte(s, p.prefillSeconds(ask.Weights.Model, tokens)) + p.networkCost(s) + s.errorCost(baseline)
+func (p *Pool) cost(s *server, criteria *Ask, baseline float64) time.Duration {
+	tokens := s.uncachedTokens(criteria)
+	return p.expectedFirstByte(s, p.prefillSeconds(criteria.Weights.Model, tokens)) + p.networkCost(s) + s.errorCost(baseline)
 }
 
 // errorCost is the cost of failing a larger share of requests than the baseline.
@@ -288,9 +288,9 @@
 	t.firstByteAt = now
 	s, p := t.server, t.pool
 	took := now.Sub(t.SendAt)
-	s.recordParts(t.ask.Weights, t.ask.Parts)
+	s.recordParts(t.criteria.Weights, t.criteria.Parts)
 	if s.info.Kind == backend.KindEngine && t.measuresPrefill {
-		p.recordPrefill(t.ask.Weights.Model, t.ask.ownTokens(), took-p.networkCost(s))
+		p.recordPrefill(t.criteria.Weights.Model, t.criteria.ownTokens(), took-p.networkCost(s))
 	}
 	if s.info.Kind == backend.KindEngine && t.ExpectedFirstByte > 0 {
 		ratio := min(max(float64(took)/float64(t.ExpectedFirstByte), 0.2), 8)
@@ -343,12 +343,12 @@
 	case Refused:
 		// An engine may refuse a model that it is about to unload before the leader's
 		// message arrives here.
-		s.retiring[t.ask.Weights.Model] = s.info.Kind == backend.KindEngine
+		s.retiring[t.criteria.Weights.Model] = s.info.Kind == backend.KindEngine
 		s.probing = false
 	case Misplaced:
 		s.info.Leaving = true
 	case NotHeld:
-		delete(s.holds, t.ask.Weights)
+		delete(s.holds, t.criteria.Weights)
 		s.probing = false
 	case Unreached:
 		s.recordFailure(now)
@@ -366,7 +366,7 @@
 	if t.server.info.Kind != backend.KindEngine || t.firstByteAt.IsZero() {
 		return
 	}
-	model := t.ask.Weights.Model
+	model := t.criteria.Weights.Model
 	known, measured := t.pool.answerSeconds[model]
 	if !measured {
 		known = initialAnswerSeconds
--- a/internal/control/balance/server.go
+++ b/internal/control/balance/server.go
@@ -131,15 +131,15 @@
 // known to be cached count nothing. Other shared parts have mostly been cached by requests
 // of other hosts and count for a quarter. The last part is the request's own and counts in
 // full.
-func (s *server) uncachedTokens(ask *Ask) float64 {
-	tokens, cached := float64(ask.Prompt), true
-	for i, part := range ask.Parts {
-		_, partCached := s.cachedParts[newPartKey(ask.Weights, part)]
+func (s *server) uncachedTokens(criteria *Ask) float64 {
+	tokens, cached := float64(criteria.Prompt), true
+	for i, part := range criteria.Parts {
+		_, partCached := s.cachedParts[newPartKey(criteria.Weights, part)]
 		cached = cached && partCached
 		switch {
 		case cached:
 			tokens -= float64(part.Tokens)
-		case i < len(ask.Parts)-1:
+		case i < len(criteria.Parts)-1:
 			tokens -= sharedCachedShare * float64(part.Tokens)
 		}
 	}
@@ -147,11 +147,11 @@
 }
 
 // ownTokens counts the tokens of a prompt's last part, which no other request shares.
-func (a *Ask) ownTokens() float64 {
-	if len(a.Parts) == 0 {
-		return float64(a.Prompt)
+func (c *Ask) ownTokens() float64 {
+	if len(c.Parts) == 0 {
+		return float64(c.Prompt)
 	}
-	return float64(a.Parts[len(a.Parts)-1].Tokens)
+	return float64(c.Parts[len(c.Parts)-1].Tokens)
 }
 
 // sharedCachedShare is the share of shared tokens that a server has cached for other hosts.
--- a/internal/traffic/relay/serving.go
+++ b/internal/traffic/relay/serving.go
@@ -43,8 +43,8 @@
 	runs     int
 	// stream is the state of a streamed answer that has started.
 	stream stream
-	// releaseReservation gives back the engine's slot that is reserved for the current
-	// send.
+	// releaseReservation releases the engine's slot that is reserved for the current send;
+	// nil without a reservation.
 	releaseReservation func()
 	// queued reports that the prompt is still in the scheduler's queue, and may ask again.
 	queued bool
