--- a/internal/control/suspects/suspects.go
+++ b/internal/control/suspects/suspects.go
@@ -1,10 +1,10 @@
 // Package suspects finds the requests that crash the backend servers that run them, so that
 // all entry hosts refuse them.
 //
-// Some requests crash each backend server that runs them, and their callers send them
-// again. A host that loses a backend server while requests are in flight there can't tell
-// which of them caused the crash: all of them become suspects. A request is recognised by
-// the fingerprint of its content. A suspect of one crash is run alone on a server: if it is
+// A request may crash each backend server that runs it, and its caller sends it again. A
+// host that loses a backend server while requests are in flight there can't tell which of
+// them caused the crash: all of them become suspects. A request is recognised by the
+// fingerprint of its content. A suspect of one crash is run alone on a server: if it is
 // harmless, its answer clears it, and if it is not, no other request is lost with it. A
 // suspect of two crashes is refused. Hosts exchange the crashes they know; a crash is named
 // by the server's name and incarnation, so it counts once however often it is reported.
