--- a/internal/control/documents/codec.go
+++ b/internal/control/documents/codec.go
@@ -22,19 +22,19 @@
 	historyPrefix = "/cicadaloom/history/"
 )
 
-// Key gives the key of a team's document.
+// Key returns the key of a team's document.
 func Key(team ident.TeamName) string {
 	return Prefix + string(team)
 }
 
-// HistoryPrefix gives the prefix of the superseded versions of a team's
-// document; each value is read by DecodeVersion.
+// HistoryPrefix returns the prefix of the keys of a team's superseded versions;
+// DecodeVersion reads their values.
 func HistoryPrefix(team ident.TeamName) string {
 	return historyPrefix + string(team) + "/"
 }
 
 func historyKey(team ident.TeamName, revision ident.Revision) string {
-	// Leading zeros keep the order of keys that of revisions.
+	// The leading zeros make keys sort by revision.
 	return fmt.Sprintf("%s%019d", HistoryPrefix(team), revision)
 }
 
@@ -43,27 +43,27 @@
 	Team     ident.TeamName
 	Revision ident.Revision
 	Edit     ident.EditID
-	// At is when the accepting host sent the swap, by that host's clock.
+	// At is when the host that accepted the edit sent its swap, by that host's clock.
 	At time.Time
-	// Text is as the operator gave it; empty for a tombstone.
+	// Text is the document as the operator submitted it; empty for a tombstone.
 	Text    []byte
 	Deleted bool
 }
 
-// ref names an earlier version.
-type ref struct {
+// versionRef identifies an earlier version.
+type versionRef struct {
 	edit     ident.EditID
 	revision ident.Revision
 }
 
-// stored is the value of a document's key. Its version's revision is that of
-// the entry.
-type stored struct {
+// storedDocument is the decoded value of a document's key. The revision of its
+// version is not in the value but is that of the entry.
+type storedDocument struct {
 	version Version
-	// after is the revision of the accepted edit before this one, of any team.
-	after ident.Revision
-	// earlier are the versions before this one, the newest first.
-	earlier []ref
+	// previousEdit is the revision of the accepted edit before this one, of any team.
+	previousEdit ident.Revision
+	// earlierVersions are the versions before this one, the newest first.
+	earlierVersions []versionRef
 }
 
 type wireVersion struct {
@@ -80,7 +80,7 @@
 	Revision int64
 }
 
-type wireStored struct {
+type wireStoredDocument struct {
 	wireVersion
 	After   int64
 	Earlier []wireRef `json:",omitempty"`
@@ -93,7 +93,7 @@
 	Models   int
 	Adapters int
 	Services int
-	// Memory is what the least replicas of all models take, in bytes.
+	// Memory is the memory of the least number of replicas of all models, in bytes.
 	Memory int64
 }
 
@@ -101,7 +101,7 @@
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false)
-	// Structs of strings, numbers and times with years below 10000 always encode.
+	// Encoding can't fail: all values are strings, numbers and times with years below 10000.
 	_ = encoder.Encode(value)
 	return bytes.TrimSuffix(out.Bytes(), []byte("\n"))
 }
@@ -141,13 +141,13 @@
 	return wire.version(), nil
 }
 
-func encodeStored(s *stored) []byte {
-	wire := wireStored{
+func encodeStoredDocument(s *storedDocument) []byte {
+	wire := wireStoredDocument{
 		wireVersion: s.version.wire(),
-		After:       int64(s.after),
+		After:       int64(s.previousEdit),
 	}
-	wire.Revision = 0 // the service gives it
-	for _, r := range s.earlier {
+	wire.Revision = 0 // the key-value service assigns it
+	for _, r := range s.earlierVersions {
 		wire.Earlier = append(wire.Earlier, wireRef{
 			Edit:     string(r.edit),
 			Revision: int64(r.revision),
@@ -156,23 +156,23 @@
 	return encode(wire)
 }
 
-// decodeStored reads the value of a document's key and the document in it, nil
-// for a tombstone.
-func decodeStored(key string, revision ident.Revision, value []byte) (*stored, *document.Document, error) {
-	var wire wireStored
+// decodeStoredDocument reads the value of a document's key and the document in it,
+// which is nil for a tombstone.
+func decodeStoredDocument(key string, revision ident.Revision, value []byte) (*storedDocument, *document.Document, error) {
+	var wire wireStoredDocument
 	if err := json.Unmarshal(value, &wire); err != nil {
 		return nil, nil, errors.Wrap(err, "decode stored document")
 	}
 	if strings.TrimPrefix(key, Prefix) != wire.Team {
 		return nil, nil, errors.Errorf("stored document of team %q under key %q", wire.Team, key)
 	}
-	result := &stored{
-		version: wire.version(),
-		after:   ident.Revision(wire.After),
+	result := &storedDocument{
+		version:      wire.version(),
+		previousEdit: ident.Revision(wire.After),
 	}
 	result.version.Revision = revision
 	for _, r := range wire.Earlier {
-		result.earlier = append(result.earlier, ref{
+		result.earlierVersions = append(result.earlierVersions, versionRef{
 			edit:     ident.EditID(r.Edit),
 			revision: ident.Revision(r.Revision),
 		})
@@ -187,8 +187,8 @@
 	return result, doc, nil
 }
 
-// encodeSummary tells what all documents together need. Its content is for
-// people; the machines use its revision.
+// encodeSummary encodes what all documents need together. The content is for
+// people to read; machines use only the revision of the key.
 func encodeSummary(edit *EditSubmitted, docs map[ident.TeamName]*document.Document) []byte {
 	summary := wireSummary{
 		Edit:  string(edit.Edit),
--- a/internal/control/documents/cost_test.go
+++ b/internal/control/documents/cost_test.go
@@ -11,8 +11,8 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// fleetOf fills a store with teams of ten models, five adapters each.
-func fleetOf(b *testing.B, teams int) (*modelStore, *Machine) {
+// newLoadedStore fills a store with teams of ten models, five adapters each.
+func newLoadedStore(b *testing.B, teams int) (*fakeStore, *Machine) {
 	var servers []teamdoc.Server
 	for i := range 850 {
 		servers = append(servers, teamdoc.Server{
@@ -20,7 +20,7 @@
 			Memory: 640 * unit.Gibibyte,
 		})
 	}
-	kv := newModelStore()
+	kv := newFakeStore()
 	machine := New(Config{})
 	machine.Step(epoch, CapacityChanged{
 		Servers: servers,
@@ -32,13 +32,13 @@
 	})
 	for i := range teams {
 		team := ident.TeamName(fmt.Sprintf("team-%d", i))
-		change(b, kv, machine, team, 0, "1")
+		acceptTeamEdit(b, kv, machine, team, 0, "1")
 	}
 	return kv, machine
 }
 
-func change(b *testing.B, kv *modelStore, machine *Machine, team ident.TeamName, base ident.Revision, version ident.Version) ident.Revision {
-	doc, err := teamdoc.Read(textOf(team, string(team)+"-m", 20*unit.Gibibyte, 3))
+func acceptTeamEdit(b *testing.B, kv *fakeStore, machine *Machine, team ident.TeamName, base ident.Revision, version ident.Version) ident.Revision {
+	doc, err := teamdoc.Read(documentText(team, string(team)+"-m", 20*unit.Gibibyte, 3))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	commands := machine.Step(epoch, editOf(ident.EditID(fmt.Sprintf("%s-%d", team, base)), team, base, text))
+	commands := machine.Step(epoch, newEdit(ident.EditID(fmt.Sprintf("%s-%d", team, base)), team, base, text))
 	swap, sent := commands[0].(Swap)
 	if !sent {
 		b.Fatalf("%T %v", commands[0], commands[0])
@@ -71,20 +71,20 @@
 	return result.Revision
 }
 
-// What one edit costs on the host that carries it out, at the size of the first
-// letter: 140 teams with 1,400 models and 7,000 adapters.
+// The cost of one edit on the host that carries it out, with 140 teams, 1,400
+// models and 7,000 adapters.
 func BenchmarkEdit(b *testing.B) {
-	kv, machine := fleetOf(b, 140)
+	kv, machine := newLoadedStore(b, 140)
 	base := machine.revisionOf("team-7")
 	for i := 0; b.Loop(); i++ {
-		base = change(b, kv, machine, "team-7", base, ident.Version(fmt.Sprint(i)))
+		base = acceptTeamEdit(b, kv, machine, "team-7", base, ident.Version(fmt.Sprint(i)))
 	}
 }
 
-// What one accepted edit costs on a host that hears of it, and the bytes of a
-// word with one document and with all.
+// The cost of one accepted edit on a host that receives it by its watch, and the
+// bytes of a message with one document and with all.
 func BenchmarkLearn(b *testing.B) {
-	kv, machine := fleetOf(b, 140)
+	kv, machine := newLoadedStore(b, 140)
 	entry := kv.entries[Key("team-7")]
 	all := 0
 	for _, d := range machine.Since(0).Documents {
@@ -104,9 +104,9 @@
 	b.ReportMetric(float64(all), "bytes/all")
 }
 
-// What a tick costs while nothing happens.
+// The cost of a Tick without anything due.
 func BenchmarkTick(b *testing.B) {
-	_, machine := fleetOf(b, 140)
+	_, machine := newLoadedStore(b, 140)
 	for b.Loop() {
 		machine.Step(epoch, Tick{})
 	}
--- a/internal/control/documents/edit.go
+++ b/internal/control/documents/edit.go
@@ -11,37 +11,37 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// maxEdits is how many edits wait on one host. They are carried out one after
-// the other, since each writes the summary.
-const maxEdits = 64
+// maxWaitingEdits is how many edits may wait on one host. They run one at a time,
+// since each writes the summary.
+const maxWaitingEdits = 64
 
-// edit is an operator's edit that is not answered yet.
+// edit is an operator's edit that has not been answered yet.
 type edit struct {
 	EditSubmitted
-	document *document.Document // nil with Delete
+	document *document.Document // nil if Delete is set
 
 	// call is the read or swap in flight, zero for none.
 	call         CallID
 	callDeadline time.Time
-	swapping     bool
-	value        []byte // what the swap in flight puts
-	// doubt: a swap sent before may have taken effect, or may yet.
-	doubt bool
-	// elsewhere: so may one that another host sent.
-	elsewhere bool
-	// sent is the revision of the summary that the last swap compared.
-	sent     ident.Revision
-	mustRead bool
-	tries    int
-	retryAt  time.Time
+	swapInFlight bool
+	putValue     []byte // the document's value in the swap in flight
+	// inDoubt is set if an earlier swap of this host may have taken effect, or still may.
+	inDoubt bool
+	// inDoubtElsewhere is set if a swap of another host may have taken effect, or still may.
+	inDoubtElsewhere bool
+	// comparedSummary is the summary's revision that the last swap compared.
+	comparedSummary ident.Revision
+	mustRead        bool
+	attempts        int
+	retryAt         time.Time
 }
 
-// doubtful tells whether the edit may have been accepted, or may be yet.
-func (e *edit) doubtful() bool {
-	return e.doubt || e.elsewhere || e.swapping
+// mayBeAccepted reports whether the edit may have been accepted, or still may be.
+func (e *edit) mayBeAccepted() bool {
+	return e.inDoubt || e.inDoubtElsewhere || e.swapInFlight
 }
 
-func (m *Machine) submit(now time.Time, event EditSubmitted) {
+func (m *Machine) submitEdit(now time.Time, event EditSubmitted) {
 	queued := slices.ContainsFunc(m.edits, func(e *edit) bool {
 		return e.Edit == event.Edit
 	})
@@ -49,23 +49,23 @@
 		return
 	}
 	e := &edit{
-		EditSubmitted: event,
-		elsewhere:     event.Again,
-		mustRead:      event.Again,
+		EditSubmitted:    event,
+		inDoubtElsewhere: event.Again,
+		mustRead:         event.Again,
 	}
-	if result := m.settled(now, e); result != nil {
-		m.answer(e, result)
+	if result := m.resultFromState(now, e); result != nil {
+		m.answerEdit(e, result)
 		return
 	}
-	if faults := e.read(); len(faults) > 0 {
-		m.answer(e, Refused{
+	if faults := e.parse(); len(faults) > 0 {
+		m.answerEdit(e, Refused{
 			Faults: faults,
 		})
 		return
 	}
-	if len(m.edits) == maxEdits {
-		m.answer(e, m.unlessDoubtful(now, e, Unavailable{
-			RetryAt: now.Add(m.pause(1)),
+	if len(m.edits) == maxWaitingEdits {
+		m.answerEdit(e, m.unlessInDoubt(now, e, Unavailable{
+			RetryAt: now.Add(m.retryDelay(1)),
 			Reason:  "too many edits are waiting",
 		}))
 		return
@@ -73,8 +73,8 @@
 	m.edits = append(m.edits, e)
 }
 
-// read checks the document by itself.
-func (e *edit) read() jsonfile.Faults {
+// parse reads the edit's document and checks it on its own.
+func (e *edit) parse() jsonfile.Faults {
 	var faults jsonfile.Faults
 	if e.Delete {
 		return nil
@@ -90,27 +90,28 @@
 	return faults
 }
 
-func (m *Machine) answer(e *edit, result EditResult) {
-	m.do(AnswerEdit{
+func (m *Machine) answerEdit(e *edit, result EditResult) {
+	m.emit(AnswerEdit{
 		Edit:   e.Edit,
 		Team:   e.Team,
 		Result: result,
 	})
 }
 
-// unlessDoubtful gives the result, which says that the edit will not be in
-// force, only where that is true.
-func (m *Machine) unlessDoubtful(now time.Time, e *edit, result EditResult) EditResult {
-	if !e.doubtful() {
+// unlessInDoubt returns the result, which says that the edit will not be in force,
+// or Unknown if the edit may have been accepted.
+func (m *Machine) unlessInDoubt(now time.Time, e *edit, result EditResult) EditResult {
+	if !e.mayBeAccepted() {
 		return result
 	}
 	return Unknown{
-		RetryAt: now.Add(m.pause(1)),
+		RetryAt: now.Add(m.retryDelay(1)),
 	}
 }
 
-// pumpEdits carries on with the first edit, and answers all that are due.
-func (m *Machine) pumpEdits(now time.Time) {
+// processEdits answers expired edits, then advances the first edit, and the next
+// ones as long as the first gets its answer.
+func (m *Machine) processEdits(now time.Time) {
 	m.expireEdits(now)
 	for len(m.edits) > 0 {
 		e := m.edits[0]
@@ -118,13 +119,13 @@
 			return
 		}
 		if e.call != 0 {
-			m.callLost(e)
+			m.abandonCall(e)
 		}
-		result := m.advance(now, e)
+		result := m.advanceEdit(now, e)
 		if result == nil {
 			return
 		}
-		m.answer(e, result)
+		m.answerEdit(e, result)
 		m.edits = m.edits[1:]
 	}
 }
@@ -134,17 +135,17 @@
 		if now.Before(e.Deadline) {
 			return false
 		}
-		m.answer(e, m.unlessDoubtful(now, e, Unavailable{
-			RetryAt: now.Add(m.pause(1)),
+		m.answerEdit(e, m.unlessInDoubt(now, e, Unavailable{
+			RetryAt: now.Add(m.retryDelay(1)),
 			Reason:  "the edit's deadline passed",
 		}))
 		return true
 	})
 }
 
-// advance takes the edit one step on. It gives the answer where there is one.
-func (m *Machine) advance(now time.Time, e *edit) EditResult {
-	if result := m.settled(now, e); result != nil {
+// advanceEdit sends the edit's next call, or returns the result if there is one.
+func (m *Machine) advanceEdit(now time.Time, e *edit) EditResult {
+	if result := m.resultFromState(now, e); result != nil {
 		return result
 	}
 	if now.Before(e.retryAt) {
@@ -154,102 +155,102 @@
 		m.sendRead(now, e)
 		return nil
 	}
-	if !m.upToDate(e) {
-		return m.whileBehind(now, e)
+	if !m.isUpToDate(e) {
+		return m.resultWhileBehind(now, e)
 	}
-	base := m.base(e)
-	if h := m.teams[e.Team]; m.revisionOf(e.Team) != base {
-		return m.conflict(e, h)
+	base := m.baseRevision(e)
+	if state := m.teams[e.Team]; m.revisionOf(e.Team) != base {
+		return m.conflictResult(e, state)
 	}
-	// A swap sent before compared the summary as it was then. Once the summary
-	// has moved on, that swap can't take effect any more; and it has not, or the
-	// edit would be settled.
-	if e.doubt && e.sent != m.summary {
-		e.doubt = false
+	// An earlier swap compared the summary as it was then. Once the summary has
+	// changed, that swap can no longer take effect; and it has not taken effect, or
+	// resultFromState would have returned Accepted.
+	if e.inDoubt && e.comparedSummary != m.summaryRevision {
+		e.inDoubt = false
 	}
-	if !e.doubt {
-		if result := m.check(now, e); result != nil {
-			return m.unlessDoubtful(now, e, result)
+	if !e.inDoubt {
+		if result := m.checkEdit(now, e); result != nil {
+			return m.unlessInDoubt(now, e, result)
 		}
 	}
 	m.sendSwap(now, e, base)
 	return nil
 }
 
-// settled gives the answer that follows from the documents held, if any.
-func (m *Machine) settled(now time.Time, e *edit) EditResult {
-	h, found := m.teams[e.Team]
+// resultFromState returns the result that follows from the known documents, if any.
+func (m *Machine) resultFromState(now time.Time, e *edit) EditResult {
+	state, found := m.teams[e.Team]
 	if !found {
 		return nil
 	}
-	if revision, accepted := h.find(e.Edit); accepted {
+	if revision, accepted := state.findEdit(e.Edit); accepted {
 		return Accepted{
 			Revision: revision,
 		}
 	}
-	if h.version.Revision <= e.Base {
+	if state.version.Revision <= e.Base {
 		return nil
 	}
-	// Another host's swap of an edit that builds on no document may have compared
-	// a tombstone that this host has not heard of, and be accepted by now, though
-	// the document held here looks like somebody else's. What a read gives is
+	// Another host's swap of an edit with base zero may have compared a tombstone
+	// that this host has not received, and may be accepted by now, although the
+	// document known here looks like another operator's. A read returns a state
 	// later than that swap's compares.
-	if e.elsewhere && e.mustRead {
+	if e.inDoubtElsewhere && e.mustRead {
 		return nil
 	}
-	// So many edits came after the base that ours could be among those that the
-	// stored value no longer names. "Conflict" could be a lie then.
-	if e.doubtful() && !h.covers(e.Base) {
+	// So many edits followed the base that this one could be among those that the
+	// stored value no longer names. Conflict could be wrong then.
+	if e.mayBeAccepted() && !state.namesAllSince(e.Base) {
 		return Unknown{
-			RetryAt: now.Add(m.pause(1)),
+			RetryAt: now.Add(m.retryDelay(1)),
 		}
 	}
-	if m.base(e) == h.version.Revision {
+	if m.baseRevision(e) == state.version.Revision {
 		return nil
 	}
-	return m.conflict(e, h)
+	return m.conflictResult(e, state)
 }
 
-func (m *Machine) conflict(e *edit, h *held) EditResult {
+func (m *Machine) conflictResult(e *edit, state *teamState) EditResult {
 	result := Conflict{
 		Yours: e.Text,
 	}
-	if h != nil {
-		result.Theirs = h.version.Text
-		result.Revision = h.version.Revision
+	if state != nil {
+		result.Theirs = state.version.Text
+		result.Revision = state.version.Revision
 	}
 	return result
 }
 
-// base is the revision that the swap compares. Who read that there is no
-// document may build on a tombstone.
-func (m *Machine) base(e *edit) ident.Revision {
-	if h, found := m.teams[e.Team]; found && e.Base == 0 && h.version.Deleted {
-		return h.version.Revision
+// baseRevision returns the revision that the swap compares. An operator who read
+// that there is no document may replace a tombstone.
+func (m *Machine) baseRevision(e *edit) ident.Revision {
+	if state, found := m.teams[e.Team]; found && e.Base == 0 && state.version.Deleted {
+		return state.version.Revision
 	}
 	return e.Base
 }
 
 func (m *Machine) revisionOf(team ident.TeamName) ident.Revision {
-	if h, found := m.teams[team]; found {
-		return h.version.Revision
+	if state, found := m.teams[team]; found {
+		return state.version.Revision
 	}
 	return 0
 }
 
-// upToDate tells whether all documents known to exist are held, so that they
-// can be checked together. Those that are not known to exist are the summary's
-// part.
+// isUpToDate reports whether this host has every document that it knows to exist,
+// so that they can be checked together. An edit that it doesn't know of makes the
+// swap fail, by the compare of the summary.
 //
-// What a failed swap found of the summary counts only once a listing or the
-// edits themselves have come that far. The watch's position does not do: a watch
-// that left an edit out goes on as if it had not. The swap would then compare the
-// new summary and pass, although the check never saw the edit behind it: two
-// documents would overcommit together.
-func (m *Machine) upToDate(e *edit) bool {
-	known := m.sync.listed || m.complete > 0
-	reached := max(m.sync.listedAt, m.complete)
-	return known && m.complete >= m.newest && reached >= max(m.sync.need, e.Base) && len(m.unreadable) == 0
+// A summary revision that a failed swap returned counts only once a listing or
+// the edits themselves have reached it. The watch's position is not enough: a
+// watch that left an edit out goes on as if it had not. The swap would then
+// compare the new summary and pass, although the check never saw the edit that
+// wrote it: two documents would overcommit together.
+func (m *Machine) isUpToDate(e *edit) bool {
+	known := m.sync.listed || m.completeRevision > 0
+	reached := max(m.sync.listedRevision, m.completeRevision)
+	return known && m.completeRevision >= m.newestRevision && reached >= max(m.sync.neededRevision, e.Base) && len(m.unreadableRevisions) == 0
 }
 
 func (m *Machine) editWaitsForListing(now time.Time) bool {
@@ -257,17 +258,17 @@
 		return false
 	}
 	e := m.edits[0]
-	return e.call == 0 && !e.mustRead && !now.Before(e.retryAt) && !m.upToDate(e)
+	return e.call == 0 && !e.mustRead && !now.Before(e.retryAt) && !m.isUpToDate(e)
 }
 
-func (m *Machine) whileBehind(now time.Time, e *edit) EditResult {
+func (m *Machine) resultWhileBehind(now time.Time, e *edit) EditResult {
 	s := &m.sync
 	switch {
-	case e.doubtful():
-		return nil // Unknown at its deadline, unless it is settled before
-	case len(m.unreadable) > 0:
+	case e.mayBeAccepted():
+		return nil // Unknown at the deadline, unless a result is found before
+	case len(m.unreadableRevisions) > 0:
 		return Unavailable{
-			RetryAt: now.Add(longestPause),
+			RetryAt: now.Add(maxRetryDelay),
 			Reason:  "this host can't read every team's stored document",
 		}
 	case s.failures > 0 && s.call == 0:
@@ -279,11 +280,11 @@
 	return nil
 }
 
-// check looks at all documents together, this edit among them.
-func (m *Machine) check(now time.Time, e *edit) EditResult {
+// checkEdit checks all documents together, with this edit applied.
+func (m *Machine) checkEdit(now time.Time, e *edit) EditResult {
 	var before *document.Document
-	if h, found := m.teams[e.Team]; found {
-		before = h.document
+	if state, found := m.teams[e.Team]; found {
+		before = state.document
 	}
 	if e.Delete && before == nil {
 		var faults jsonfile.Faults
@@ -294,25 +295,25 @@
 	}
 	docs := m.documentsWith(e)
 	if !teamdoc.NeedsMore(before, e.document) {
-		// Servers that died must not keep a team from needing less.
-		return refusedFor(teamdoc.CheckNames(docs))
+		// Crashed servers must not keep a team from reducing what it needs.
+		return refusedOrNil(teamdoc.CheckNames(docs))
 	}
 	if faults := teamdoc.CheckNames(docs); len(faults) > 0 {
-		return refusedFor(faults)
+		return refusedOrNil(faults)
 	}
 	faults := teamdoc.CheckTogether(docs, m.capacity)
-	if len(faults) > 0 && (m.unheard > 0 || len(m.capacity) == 0) {
-		// A host that has just started, or a server that has, would otherwise make
-		// a sound document fail for good: what fits is not known yet.
+	if len(faults) > 0 && (m.serversNotReported > 0 || len(m.capacity) == 0) {
+		// The capacity is not known yet: right after the start of this host or of a
+		// server, a sound document would otherwise be refused for good.
 		return Unavailable{
-			RetryAt: now.Add(m.pause(1)),
-			Reason:  fmt.Sprintf("the documents don't fit the %d backend servers that have reported their memory, and %d are still to", len(m.capacity), m.unheard),
+			RetryAt: now.Add(m.retryDelay(1)),
+			Reason:  fmt.Sprintf("the documents don't fit the %d backend servers that have reported their memory, and %d are still to", len(m.capacity), m.serversNotReported),
 		}
 	}
-	return refusedFor(faults)
+	return refusedOrNil(faults)
 }
 
-func refusedFor(faults jsonfile.Faults) EditResult {
+func refusedOrNil(faults jsonfile.Faults) EditResult {
 	if len(faults) == 0 {
 		return nil
 	}
@@ -321,12 +322,12 @@
 	}
 }
 
-// documentsWith gives all documents as they would be with the edit.
+// documentsWith returns all documents as they would be with the edit applied.
 func (m *Machine) documentsWith(e *edit) map[ident.TeamName]*document.Document {
 	docs := make(map[ident.TeamName]*document.Document)
-	for team, h := range m.teams {
-		if h.document != nil {
-			docs[team] = h.document
+	for team, state := range m.teams {
+		if state.document != nil {
+			docs[team] = state.document
 		}
 	}
 	delete(docs, e.Team)
--- a/internal/control/documents/learn.go
+++ b/internal/control/documents/learn.go
@@ -9,103 +9,103 @@
 )
 
 const (
-	// keepSeen is how many versions before the one in force stay in memory.
-	keepSeen = 8
-	// keepEarlier is how many earlier versions a stored value names, and the
-	// store keeps. A lost answer can be resolved until so many more edits of
-	// the team were accepted.
-	keepEarlier = 16
+	// maxRecentVersions is how many versions before the one in force stay in memory.
+	maxRecentVersions = 8
+	// maxEarlierVersions is how many earlier versions a stored value names and the
+	// store keeps. The outcome of a swap whose answer was lost can be found until
+	// this many more edits of the team have been accepted.
+	maxEarlierVersions = 16
 )
 
-// learn takes a document from whoever offers it.
-func (m *Machine) learn(entry store.Entry) {
+// applyEntry applies a document's entry, whether from the store or from a peer.
+func (m *Machine) applyEntry(entry store.Entry) {
 	team := ident.TeamName(strings.TrimPrefix(entry.Key, Prefix))
 	before := m.teams[team]
-	// A lagging peer, reader or a batch delivered twice offers an older document;
-	// taking it would revert an accepted edit. Revisions of one key only grow,
-	// and each stands for one value, so the greater one is the later edit.
+	// A lagging peer or replica, or a batch delivered twice, offers an older
+	// document; applying it would revert an accepted edit. Revisions of one key
+	// only grow, and each has one value, so the greater one is the later edit.
 	if before != nil && entry.Revision <= before.version.Revision {
 		return
 	}
-	if entry.Revision == 0 || entry.Revision < m.unreadable[team] {
+	if entry.Revision == 0 || entry.Revision < m.unreadableRevisions[team] {
 		return
 	}
-	m.newest = max(m.newest, entry.Revision)
-	m.learnSummary(entry.Revision, entry.Revision)
-	decoded, doc, err := decodeStored(entry.Key, entry.Revision, entry.Value)
+	m.newestRevision = max(m.newestRevision, entry.Revision)
+	m.applySummary(entry.Revision, entry.Revision)
+	decoded, doc, err := decodeStoredDocument(entry.Key, entry.Revision, entry.Value)
 	if err != nil {
-		m.complain(team, entry.Revision, err)
+		m.reportUnreadable(team, entry.Revision, err)
 		return
 	}
-	delete(m.unreadable, team)
-	after := &held{
-		stored:   *decoded,
-		value:    entry.Value,
-		document: doc,
+	delete(m.unreadableRevisions, team)
+	after := &teamState{
+		storedDocument: *decoded,
+		storedValue:    entry.Value,
+		document:       doc,
 	}
 	if before != nil {
-		after.seen = append([]Version{before.version}, before.seen...)
-		after.seen = after.seen[:min(len(after.seen), keepSeen)]
+		after.recentVersions = append([]Version{before.version}, before.recentVersions...)
+		after.recentVersions = after.recentVersions[:min(len(after.recentVersions), maxRecentVersions)]
 	}
 	m.teams[team] = after
 	m.changed = true
-	m.attach()
+	m.advanceComplete()
 }
 
-// attach moves complete on over the documents held. Each names the accepted edit
-// before it, of any team, so between the two there is none that is missing.
-func (m *Machine) attach() {
-	for moved := true; moved; {
-		moved = false
-		for _, h := range m.teams {
-			if h.after <= m.complete && h.version.Revision > m.complete {
-				m.complete = h.version.Revision
-				moved = true
+// advanceComplete raises completeRevision over the known documents. Each names
+// the previous accepted edit, of any team, so no edit between the two is missing.
+func (m *Machine) advanceComplete() {
+	for advanced := true; advanced; {
+		advanced = false
+		for _, state := range m.teams {
+			if state.previousEdit <= m.completeRevision && state.version.Revision > m.completeRevision {
+				m.completeRevision = state.version.Revision
+				advanced = true
 			}
 		}
 	}
 }
 
-// complain names an unreadable value once. The value may be whole in the store
-// and damaged only as one peer passed it on, so the same revision is taken from
-// elsewhere later.
-func (m *Machine) complain(team ident.TeamName, revision ident.Revision, cause error) {
-	if m.unreadable[team] == revision {
+// reportUnreadable reports an unreadable value once. A peer may have sent a damaged
+// copy of a value that is whole in the store, so the same revision is still
+// accepted from another source later.
+func (m *Machine) reportUnreadable(team ident.TeamName, revision ident.Revision, cause error) {
+	if m.unreadableRevisions[team] == revision {
 		return
 	}
-	m.unreadable[team] = revision
-	m.do(Complain{
+	m.unreadableRevisions[team] = revision
+	m.emit(Complain{
 		Team:     team,
 		Revision: revision,
 		Cause:    cause,
 	})
 }
 
-// learnSummary takes the revision of the summary key as it was at a revision of
-// the whole service. An accepted edit writes both keys at once.
-func (m *Machine) learnSummary(summary, at ident.Revision) {
-	if at > m.summaryAt {
-		m.summary = summary
-		m.summaryAt = at
+// applySummary applies the revision that the summary key had at a revision of the
+// whole store. An accepted edit writes its document and the summary at one revision.
+func (m *Machine) applySummary(summary, at ident.Revision) {
+	if at > m.summaryReadAt {
+		m.summaryRevision = summary
+		m.summaryReadAt = at
 	}
 }
 
-// Revision is the revision of the latest accepted edit of which it is certain
-// that it, and every one before it, is in force here.
+// Revision returns the greatest revision up to which every accepted edit is
+// certainly in force here.
 func (m *Machine) Revision() ident.Revision {
-	result := m.complete
-	for _, revision := range m.unreadable {
+	result := m.completeRevision
+	for _, revision := range m.unreadableRevisions {
 		result = min(result, revision-1)
 	}
 	return result
 }
 
-// find gives the revision as which an edit was accepted.
-func (h *held) find(edit ident.EditID) (ident.Revision, bool) {
-	if h.version.Edit == edit {
-		return h.version.Revision, true
+// findEdit returns the revision at which an edit was accepted.
+func (s *teamState) findEdit(edit ident.EditID) (ident.Revision, bool) {
+	if s.version.Edit == edit {
+		return s.version.Revision, true
 	}
-	for _, r := range h.earlier {
+	for _, r := range s.earlierVersions {
 		if r.edit == edit {
 			return r.revision, true
 		}
@@ -113,30 +113,31 @@
 	return 0, false
 }
 
-// covers tells whether the version names every version after a base, so that an
-// edit on that base which it does not name was not accepted.
-func (h *held) covers(base ident.Revision) bool {
-	if len(h.earlier) < keepEarlier {
+// namesAllSince reports whether the stored document names every version after a
+// base revision. If it does, an edit on that base that it doesn't name was not
+// accepted.
+func (s *teamState) namesAllSince(base ident.Revision) bool {
+	if len(s.earlierVersions) < maxEarlierVersions {
 		return true
 	}
-	return h.earlier[len(h.earlier)-1].revision <= base
+	return s.earlierVersions[len(s.earlierVersions)-1].revision <= base
 }
 
-// History gives the versions of a team's document, the newest first. Those that
-// did not pass through this host have no Text: it is in the store, under
-// HistoryPrefix.
+// History returns the versions of a team's document, the newest first. A version
+// that this host no longer has in memory, or never had, has no Text here: the
+// store has it under HistoryPrefix.
 func (m *Machine) History(team ident.TeamName) []Version {
-	h, found := m.teams[team]
+	state, found := m.teams[team]
 	if !found {
 		return nil
 	}
-	result := []Version{h.version}
-	for _, r := range h.earlier {
-		at := slices.IndexFunc(h.seen, func(v Version) bool {
+	result := []Version{state.version}
+	for _, r := range state.earlierVersions {
+		at := slices.IndexFunc(state.recentVersions, func(v Version) bool {
 			return v.Revision == r.revision
 		})
 		if at >= 0 {
-			result = append(result, h.seen[at])
+			result = append(result, state.recentVersions[at])
 			continue
 		}
 		result = append(result, Version{
--- a/internal/control/documents/machine.go
+++ b/internal/control/documents/machine.go
@@ -10,58 +10,61 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Config has what a machine is told at its start. The zero value works.
+// Config configures a Machine. The zero value works.
 type Config struct {
-	// Seed feeds all random choices: pauses before a call is tried again.
+	// Seed seeds the random part of retry delays.
 	Seed uint64
-	// CallTimeout is how long a call may stay unanswered before the machine
-	// takes its answer for lost; the owner should give up a little earlier.
+	// CallTimeout is how long a call may stay unanswered before the machine treats
+	// its answer as lost; the owner's own timeout should be a little shorter.
 	CallTimeout time.Duration
-	// WatchSilence is how long a watch may give no sign of life.
+	// WatchSilence is how long a watch may deliver no batch before it counts as broken.
 	WatchSilence time.Duration
-	// Refresh is between two listings while nothing else asks for one: the way out
-	// for a host that missed an edit and whose peers know no more.
+	// Refresh is the interval between listings that nothing else requires. They help
+	// a host that missed an edit that its peers don't have either.
 	Refresh time.Duration
 }
 
 const (
-	defaultCallTimeout  = 2 * time.Second
-	defaultWatchSilence = 5 * time.Second
-	defaultRefresh      = 5 * time.Minute
+	defaultCallTimeout     = 2 * time.Second
+	defaultWatchSilence    = 5 * time.Second
+	defaultRefreshInterval = 5 * time.Minute
 )
 
 func (c Config) withDefaults() Config {
 	c.CallTimeout = cmp.Or(c.CallTimeout, defaultCallTimeout)
 	c.WatchSilence = cmp.Or(c.WatchSilence, defaultWatchSilence)
-	c.Refresh = cmp.Or(c.Refresh, defaultRefresh)
+	c.Refresh = cmp.Or(c.Refresh, defaultRefreshInterval)
 	return c
 }
 
-// Machine decides which documents are in force on one host.
+// Machine holds the documents that are in force on one host and its operators'
+// unanswered edits. It is not safe for concurrent use.
 type Machine struct {
 	config Config
 	random *rand.Rand
 
-	teams map[ident.TeamName]*held
-	// newest is the greatest revision of any document seen.
-	newest ident.Revision
-	// complete is the revision of an accepted edit: that edit and every one before
-	// it are held here, or later versions in their place.
-	complete ident.Revision
-	// position is the revision of the whole service up to which a listing or the
-	// watch has gone.
-	position ident.Revision
-	// unreadable has values that this host can't read, by their revision.
-	unreadable map[ident.TeamName]ident.Revision
-	// summary is the revision of the summary key, as known at summaryAt.
-	summary   ident.Revision
-	summaryAt ident.Revision
-
-	sync     syncState
-	edits    []*edit
-	capacity []teamdoc.Server
-	unheard  int
-	peers    map[ident.HostID]ident.Revision
+	teams map[ident.TeamName]*teamState
+	// newestRevision is the greatest revision of any document seen.
+	newestRevision ident.Revision
+	// completeRevision is the revision up to which this host has every accepted
+	// edit, or a later version of the same document.
+	completeRevision ident.Revision
+	// watchPosition is the store's revision that a listing or the watch has reached;
+	// a new watch starts after it.
+	watchPosition ident.Revision
+	// unreadableRevisions has the revision of each team's stored value that this host
+	// can't read.
+	unreadableRevisions map[ident.TeamName]ident.Revision
+	// summaryRevision is the revision of the summary key as it was at summaryReadAt,
+	// a revision of the store.
+	summaryRevision ident.Revision
+	summaryReadAt   ident.Revision
+
+	sync               syncState
+	edits              []*edit
+	capacity           []teamdoc.Server
+	serversNotReported int
+	peerRevisions      map[ident.HostID]ident.Revision
 
 	lastCall  CallID
 	lastWatch WatchID
@@ -70,45 +73,45 @@
 	commands  []Command
 }
 
-// held is the newest version known of a team's document.
-type held struct {
-	stored
-	// value is what stands in the key-value service, to pass on to peers.
-	value []byte
+// teamState is the newest version known of a team's document.
+type teamState struct {
+	storedDocument
+	// storedValue is the encoded value in the key-value service, to send to peers.
+	storedValue []byte
 	// document is nil for a tombstone.
 	document *document.Document
-	// seen are versions before this one that passed through this host, the
+	// recentVersions are the earlier versions that this host has had in force, the
 	// newest first.
-	seen []Version
+	recentVersions []Version
 }
 
-// Snapshot is the documents in force at one moment. It never changes.
+// Snapshot is the set of documents in force at one moment. It is immutable.
 type Snapshot struct {
 	// Revision is the greatest revision among Versions.
 	Revision  ident.Revision
 	Documents map[ident.TeamName]*document.Document
-	// Versions has the tombstones of deleted documents as well.
+	// Versions includes the tombstones of deleted documents.
 	Versions map[ident.TeamName]Version
 }
 
-// New makes a machine that holds nothing yet.
+// New returns a Machine without documents.
 func New(config Config) *Machine {
 	return &Machine{
-		config:     config.withDefaults(),
-		random:     rand.New(rand.NewPCG(config.Seed, 0)),
-		teams:      make(map[ident.TeamName]*held),
-		unreadable: make(map[ident.TeamName]ident.Revision),
-		peers:      make(map[ident.HostID]ident.Revision),
-		snapshot:   &Snapshot{},
+		config:              config.withDefaults(),
+		random:              rand.New(rand.NewPCG(config.Seed, 0)),
+		teams:               make(map[ident.TeamName]*teamState),
+		unreadableRevisions: make(map[ident.TeamName]ident.Revision),
+		peerRevisions:       make(map[ident.HostID]ident.Revision),
+		snapshot:            &Snapshot{},
 	}
 }
 
-// Step takes an event and gives what is to be done about it.
+// Step applies an event and returns the commands for the owner to carry out.
 func (m *Machine) Step(now time.Time, event Event) []Command {
 	m.commands = nil
 	m.handle(now, event)
-	m.pumpEdits(now)
-	m.keepInSync(now)
+	m.processEdits(now)
+	m.startListingAndWatch(now)
 	m.publish()
 	return m.commands
 }
@@ -116,37 +119,37 @@
 func (m *Machine) handle(now time.Time, event Event) {
 	switch event := event.(type) {
 	case Started:
-		m.start(event)
+		m.handleStart(event)
 	case WatchDuty:
-		m.sync.duty = event.Watch
+		m.sync.shouldWatch = event.Watch
 	case ListingRead:
-		m.listingRead(now, event)
+		m.handleListing(now, event)
 	case ListFailed:
-		m.listFailed(now, event.Call)
+		m.handleListFailure(now, event.Call)
 	case WatchDelivered:
-		m.watchDelivered(now, event)
+		m.handleWatchBatch(now, event)
 	case WatchBroke:
-		m.watchBroke(now, event.Watch)
+		m.handleWatchEnd(now, event.Watch)
 	case EditSubmitted:
-		m.submit(now, event)
+		m.submitEdit(now, event)
 	case SwapAnswered:
-		m.swapAnswered(now, event)
+		m.handleSwapAnswer(now, event)
 	case ReadAnswered:
-		m.readAnswered(now, event)
+		m.handleReadAnswer(now, event)
 	case CapacityChanged:
 		m.capacity = event.Servers
-		m.unheard = event.Unheard
+		m.serversNotReported = event.Unheard
 	case PeerSpoke:
-		m.peerSpoke(event.Word)
-	case PeerInForce:
-		m.peers[event.Host] = event.Revision
-	case PeerGone:
-		delete(m.peers, event.Host)
+		m.handlePeerMessage(event.Word)
+	case PeerRevisionReported:
+		m.peerRevisions[event.Host] = event.Revision
+	case PeerRemoved:
+		delete(m.peerRevisions, event.Host)
 	case Tick:
 	}
 }
 
-func (m *Machine) do(command Command) {
+func (m *Machine) emit(command Command) {
 	m.commands = append(m.commands, command)
 }
 
@@ -156,19 +159,20 @@
 }
 
 const (
-	firstPause   = 250 * time.Millisecond
-	longestPause = 5 * time.Second
+	firstRetryDelay = 250 * time.Millisecond
+	maxRetryDelay   = 5 * time.Second
 )
 
-// pause is the time before a call is tried again. It doubles, so that an outage
-// is not met with a storm, and is random, so that hosts don't come in step.
-func (m *Machine) pause(failures int) time.Duration {
-	longest := firstPause << min(max(failures-1, 0), 10)
-	longest = min(longest, longestPause)
-	return longest/2 + time.Duration(m.random.Int64N(int64(longest/2)))
+// retryDelay returns the delay before a call is retried. It doubles with each
+// failure, so that an outage doesn't cause a storm of retries, and is random, so
+// that hosts don't retry at the same moment.
+func (m *Machine) retryDelay(failures int) time.Duration {
+	maxDelay := firstRetryDelay << min(max(failures-1, 0), 10)
+	maxDelay = min(maxDelay, maxRetryDelay)
+	return maxDelay/2 + time.Duration(m.random.Int64N(int64(maxDelay/2)))
 }
 
-// Snapshot gives the documents in force.
+// Snapshot returns the documents in force.
 func (m *Machine) Snapshot() *Snapshot {
 	return m.snapshot
 }
@@ -182,15 +186,15 @@
 		Documents: make(map[ident.TeamName]*document.Document),
 		Versions:  make(map[ident.TeamName]Version),
 	}
-	for team, h := range m.teams {
-		snapshot.Versions[team] = h.version
-		snapshot.Revision = max(snapshot.Revision, h.version.Revision)
-		if h.document != nil {
-			snapshot.Documents[team] = h.document
+	for team, state := range m.teams {
+		snapshot.Versions[team] = state.version
+		snapshot.Revision = max(snapshot.Revision, state.version.Revision)
+		if state.document != nil {
+			snapshot.Documents[team] = state.document
 		}
 	}
 	m.snapshot = snapshot
-	m.do(InForce{
+	m.emit(InForce{
 		Snapshot: snapshot,
 	})
 }
--- a/internal/control/documents/message.go
+++ b/internal/control/documents/message.go
@@ -11,93 +11,93 @@
 	"github.com/pkg/errors"
 )
 
-// Event is what happens to a Machine.
+// Event is an input of Machine.Step.
 type Event interface {
 	event()
 }
 
-// CallID ties an answer to the command that asked for it.
+// CallID matches an answer to the command that made the call.
 type CallID uint64
 
-// WatchID ties what a watch delivers to the command that began it.
+// WatchID matches the batches of a watch to the command that started it.
 type WatchID uint64
 
-// Started begins the life of the machine.
+// Started is the first event of a machine: from then on it sends listings and watches.
 type Started struct {
-	// Watch tells whether this host watches the key-value service.
+	// Watch is whether this host watches the key-value service.
 	Watch bool
 }
 
-// WatchDuty changes whether this host watches. A host that doesn't learns from
-// its peers.
+// WatchDuty changes whether this host watches the key-value service. A host that
+// doesn't watch gets documents from its peers.
 type WatchDuty struct {
 	Watch bool
 }
 
-// ListingRead answers List.
+// ListingRead is the successful answer to List.
 type ListingRead struct {
 	Call    CallID
 	Listing store.Listing
 }
 
-// ListFailed answers List: the key-value service is unavailable.
+// ListFailed is the answer to List when the key-value service is unavailable.
 type ListFailed struct {
 	Call CallID
 }
 
-// WatchDelivered has one batch of a watch, in the order of the watch.
+// WatchDelivered is one batch of a watch, in the watch's order.
 type WatchDelivered struct {
 	Watch WatchID
 	Batch store.Batch
 }
 
-// WatchBroke says that a watch ended and changes may have been missed.
+// WatchBroke reports that a watch ended and changes may have been missed.
 type WatchBroke struct {
 	Watch WatchID
 }
 
-// EditSubmitted is an operator's edit.
+// EditSubmitted is an edit that an operator submits.
 type EditSubmitted struct {
-	// Edit names the edit; submitted again under the same id it is the same edit.
+	// Edit identifies the edit: a second submission with the same id is the same edit.
 	Edit ident.EditID
 	Team ident.TeamName
-	// Base is the revision that the operator read; zero where there was none.
+	// Base is the revision that the operator read; zero if there was no document.
 	Base ident.Revision
-	// Text is the new document. With Delete the document is to go.
+	// Text is the new document. If Delete is set, the document is deleted instead.
 	Text   []byte
 	Delete bool
-	// Again tells that an earlier submission may have taken effect: its answer
-	// was Unknown, or never came.
+	// Again is set if an earlier submission may have taken effect: its result was
+	// Unknown, or never came.
 	Again bool
-	// Deadline is when the operator has to be answered.
+	// Deadline is the latest time of the answer to the operator.
 	Deadline time.Time
 }
 
-// SwapOutcome is what is known of a swap.
+// SwapOutcome is what is known about a swap's effect.
 type SwapOutcome int
 
-// The outcomes of a swap; the zero value claims nothing.
+// The outcomes of a swap; the zero value is SwapUnknown.
 const (
-	// SwapUnknown: the swap took effect, or may yet, or not.
+	// SwapUnknown: the swap may have taken effect, or still may.
 	SwapUnknown SwapOutcome = iota
-	// SwapKnown: the result says it.
-	SwapKnown
-	// SwapUnavailable: nothing was written and will not be.
+	// SwapCompleted: the result says whether the swap took effect.
+	SwapCompleted
+	// SwapUnavailable: the swap did not take effect and will not.
 	SwapUnavailable
 )
 
-// SwapAnswered answers Swap.
+// SwapAnswered is the answer to Swap.
 type SwapAnswered struct {
 	Call    CallID
 	Outcome SwapOutcome
 	Result  store.SwapResult
 }
 
-// NewSwapAnswered makes the event of what the key-value client returned.
+// NewSwapAnswered converts what the key-value client returned to an event.
 func NewSwapAnswered(call CallID, result store.SwapResult, err error) SwapAnswered {
 	answered := SwapAnswered{
 		Call:    call,
-		Outcome: SwapKnown,
+		Outcome: SwapCompleted,
 		Result:  result,
 	}
 	switch {
@@ -109,68 +109,68 @@
 	return answered
 }
 
-// ReadAnswered answers Read.
+// ReadAnswered is the answer to Read.
 type ReadAnswered struct {
 	Call   CallID
 	Entry  store.Entry
 	Failed bool
 }
 
-// CapacityChanged gives the accelerator memory of the backend servers that
+// CapacityChanged has the accelerator memory of the backend servers, which all
 // documents together have to fit.
 type CapacityChanged struct {
 	Servers []teamdoc.Server
-	// Unheard counts listed servers that are expected to report and have not yet.
+	// Unheard is the number of listed servers that should report and have not yet.
 	Unheard int
 }
 
-// PeerSpoke has documents from another host.
+// PeerSpoke has a message of another host.
 type PeerSpoke struct {
 	Word Word
 }
 
-// PeerInForce has the revision that another host reports as in force.
-type PeerInForce struct {
+// PeerRevisionReported has the revision that another host reports as in force.
+type PeerRevisionReported struct {
 	Host     ident.HostID
 	Revision ident.Revision
 }
 
-// PeerGone says that a host is no longer one of the system's.
-type PeerGone struct {
+// PeerRemoved reports that a host is no longer part of the system.
+type PeerRemoved struct {
 	Host ident.HostID
 }
 
-// Tick lets time pass.
+// Tick makes the machine act on timeouts and retries that are due.
 type Tick struct{}
 
-func (Started) event()         {}
-func (WatchDuty) event()       {}
-func (ListingRead) event()     {}
-func (ListFailed) event()      {}
-func (WatchDelivered) event()  {}
-func (WatchBroke) event()      {}
-func (EditSubmitted) event()   {}
-func (SwapAnswered) event()    {}
-func (ReadAnswered) event()    {}
-func (CapacityChanged) event() {}
-func (PeerSpoke) event()       {}
-func (PeerInForce) event()     {}
-func (PeerGone) event()        {}
-func (Tick) event()            {}
-
-// Command is what a Machine asks of its owner.
+func (Started) event()              {}
+func (WatchDuty) event()            {}
+func (ListingRead) event()          {}
+func (ListFailed) event()           {}
+func (WatchDelivered) event()       {}
+func (WatchBroke) event()           {}
+func (EditSubmitted) event()        {}
+func (SwapAnswered) event()         {}
+func (ReadAnswered) event()         {}
+func (CapacityChanged) event()      {}
+func (PeerSpoke) event()            {}
+func (PeerRevisionReported) event() {}
+func (PeerRemoved) event()          {}
+func (Tick) event()                 {}
+
+// Command is an action that Step returns for the owner to carry out.
 type Command interface {
 	command()
 }
 
-// List asks for all entries under a prefix.
+// List requests all entries under a prefix.
 type List struct {
 	Call   CallID
 	Prefix string
 }
 
-// Watch asks to watch a prefix from the revision after After, in place of any
-// watch before it.
+// Watch requests a watch of a prefix from the revision after After. It replaces the
+// previous watch.
 type Watch struct {
 	Watch  WatchID
 	Prefix string
@@ -180,32 +180,32 @@
 // StopWatch ends the watch.
 type StopWatch struct{}
 
-// Read asks for one entry, as it is now: a read from a lagging replica won't do.
+// Read requests one entry by a linearizable read: a lagging replica must not answer.
 type Read struct {
 	Call CallID
 	Key  string
 }
 
-// Swap asks for a swap.
+// Swap requests a compare-and-swap.
 type Swap struct {
 	Call CallID
 	Edit ident.EditID
 	Swap store.Swap
 }
 
-// AnswerEdit answers an operator's edit, once for each submission.
+// AnswerEdit is the answer to an operator's edit, one for each submission.
 type AnswerEdit struct {
 	Edit   ident.EditID
 	Team   ident.TeamName
 	Result EditResult
 }
 
-// InForce has the documents to serve from now on.
+// InForce publishes the documents that are in force from now on.
 type InForce struct {
 	Snapshot *Snapshot
 }
 
-// Complain names a stored value that this host can't read.
+// Complain reports a stored value that this host can't read.
 type Complain struct {
 	Team     ident.TeamName
 	Revision ident.Revision
@@ -221,38 +221,38 @@
 func (InForce) command()    {}
 func (Complain) command()   {}
 
-// EditResult is the answer to an edit.
+// EditResult is the result of an edit.
 type EditResult interface {
 	editResult()
 }
 
-// Accepted says that the edit was accepted as a revision. It may have been
-// followed by others.
+// Accepted means that the edit was accepted at a revision. Later edits may have
+// replaced it since.
 type Accepted struct {
 	Revision ident.Revision
 }
 
-// Conflict says that somebody else's edit came first. The operator merges and
-// submits a new edit on Revision.
+// Conflict means that another edit was accepted first. The operator merges the
+// two documents and submits a new edit on Revision.
 type Conflict struct {
 	Yours []byte
-	// Theirs is empty where the document was deleted or never was.
+	// Theirs is empty if the document was deleted or never existed.
 	Theirs   []byte
 	Revision ident.Revision
 }
 
-// Refused says that the document, or all documents together, are not sound.
+// Refused means that the document, or all documents together, failed a check.
 type Refused struct {
 	Faults jsonfile.Faults
 }
 
-// Unavailable says that the edit could not be carried out and was not.
+// Unavailable means that the edit could not be carried out and has no effect.
 type Unavailable struct {
 	RetryAt time.Time
 	Reason  string
 }
 
-// Unknown says that the edit may or may not have been accepted, or may be yet.
+// Unknown means that the edit may have been accepted, or still may be.
 type Unknown struct {
 	RetryAt time.Time
 }
--- a/internal/control/documents/model_test.go
+++ b/internal/control/documents/model_test.go
@@ -17,191 +17,192 @@
 	"pgregory.net/rapid"
 )
 
-// act lets one thing happen that can happen.
-func (w *world) act() {
-	w.step++
-	i := w.pick("host", len(w.hosts))
-	switch w.pick("act", 24) {
+// randomStep makes one random event or fault happen.
+func (sim *simulation) randomStep() {
+	sim.stepCount++
+	i := sim.pick("host", len(sim.hosts))
+	switch sim.pick("act", 24) {
 	case 0, 1:
-		w.submitRandom(i)
+		sim.submitRandom(i)
 	case 2:
-		if len(w.edits) > 0 {
-			w.submitAgain(w.edits[w.pick("edit", len(w.edits))], i)
+		if len(sim.edits) > 0 {
+			sim.resubmit(sim.edits[sim.pick("edit", len(sim.edits))], i)
 		}
 	case 3:
-		w.kv.down = w.pick("down", 3) == 0
+		sim.kv.isDown = sim.pick("down", 3) == 0
 	case 4:
-		if w.pick("restart", 3) == 0 {
-			w.restart(i)
+		if sim.pick("restart", 3) == 0 {
+			sim.restart(i)
 		}
 	case 5:
-		w.hosts[i].watch.dead = true
+		sim.hosts[i].watch.isDead = true
 	case 6:
-		if w.hosts[i].watch.id != 0 {
-			w.feed(i, WatchBroke{
-				Watch: w.hosts[i].watch.id,
+		if sim.hosts[i].watch.id != 0 {
+			sim.step(i, WatchBroke{
+				Watch: sim.hosts[i].watch.id,
 			})
 		}
 	case 7:
-		if len(w.pending) > 0 {
-			w.pending = append(w.pending[:0:0], w.pending[1:]...) // the oldest is lost
+		if len(sim.pending) > 0 {
+			sim.pending = append(sim.pending[:0:0], sim.pending[1:]...) // the oldest message is lost
 		}
 	case 8:
-		w.gossip(i, w.pick("to", len(w.hosts)))
+		sim.exchange(i, sim.pick("to", len(sim.hosts)))
 	case 9:
-		w.tell(i, w.pick("to", len(w.hosts)), ident.Revision(w.pick("since", 1+int(w.kv.revision))))
+		sim.sendPeerMessage(i, sim.pick("to", len(sim.hosts)), ident.Revision(sim.pick("since", 1+int(sim.kv.revision))))
 	case 10:
-		w.watchStep(i, w.pick("skip", 2))
+		sim.deliverWatchBatch(i, sim.pick("skip", 2))
 	case 11:
-		w.pass(time.Duration(w.pick("pass", 3000)) * time.Millisecond)
+		sim.advance(time.Duration(sim.pick("pass", 3000)) * time.Millisecond)
 	case 12:
-		w.watchStep(i, 0)
+		sim.deliverWatchBatch(i, 0)
 	default:
-		if len(w.pending) > 0 {
-			w.deliver(w.pick("message", len(w.pending)), w.pick("twice", 4) == 0)
+		if len(sim.pending) > 0 {
+			sim.deliver(sim.pick("message", len(sim.pending)), sim.pick("twice", 4) == 0)
 		}
 	}
-	w.check()
+	sim.checkInvariants()
 }
 
-func (w *world) pass(d time.Duration) {
-	w.now = w.now.Add(d)
-	for i := range w.hosts {
-		w.feed(i, Tick{})
+func (sim *simulation) advance(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	for i := range sim.hosts {
+		sim.step(i, Tick{})
 	}
 }
 
-func (w *world) submitRandom(i int) {
-	team := []ident.TeamName{"a", "b", "c"}[w.pick("team", 3)]
+func (sim *simulation) submitRandom(i int) {
+	team := []ident.TeamName{"a", "b", "c"}[sim.pick("team", 3)]
 	name := "model-" + string(team)
-	if w.pick("shared", 6) == 0 {
+	if sim.pick("shared", 6) == 0 {
 		name = "shared"
 	}
 	event := EditSubmitted{
 		Team:   team,
-		Base:   w.hosts[i].machine.revisionOf(team),
-		Delete: w.pick("delete", 5) == 0,
+		Base:   sim.hosts[i].machine.revisionOf(team),
+		Delete: sim.pick("delete", 5) == 0,
 	}
-	switch w.pick("base", 6) {
+	switch sim.pick("base", 6) {
 	case 0:
 		event.Base = 0
 	case 1:
-		event.Base = w.kv.entries[Key(team)].Revision // read at another host
+		event.Base = sim.kv.entries[Key(team)].Revision // read at another host
 	}
 	if !event.Delete {
-		event.Text = textOf(team, name, []unit.Bytes{20, 60, 90}[w.pick("memory", 3)], 1+w.pick("replicas", 2))
+		event.Text = documentText(team, name, []unit.Bytes{20, 60, 90}[sim.pick("memory", 3)], 1+sim.pick("replicas", 2))
 	}
-	w.submit(i, event)
+	sim.submit(i, event)
 }
 
-// check holds after every step.
-func (w *world) check() {
+// checkInvariants checks what must hold after every step.
+func (sim *simulation) checkInvariants() {
 	byEdit := make(map[ident.EditID]ident.Revision)
 	byRevision := make(map[ident.Revision]Version)
-	for _, entry := range w.kv.log {
-		require.NotContains(w.t, byEdit, entry.version.Edit, "accepted twice")
+	for _, entry := range sim.kv.versions {
+		require.NotContains(sim.t, byEdit, entry.version.Edit, "accepted twice")
 		byEdit[entry.version.Edit] = entry.Revision
 		byRevision[entry.Revision] = entry.version
 	}
-	for _, s := range w.edits {
+	for _, s := range sim.edits {
 		revision, inStore := byEdit[s.Edit]
 		if accepted, isAccepted := s.result.(Accepted); isAccepted {
-			require.Equal(w.t, revision, accepted.Revision, "%s was said to be accepted", s.Edit)
-		} else if s.final() {
-			require.False(w.t, inStore, "%s was answered %T and is accepted", s.Edit, s.result)
+			require.Equal(sim.t, revision, accepted.Revision, "%s was answered Accepted", s.Edit)
+		} else if s.isFinal() {
+			require.False(sim.t, inStore, "%s was answered %T and is accepted", s.Edit, s.result)
 		}
 	}
-	for i, h := range w.hosts {
-		w.checkHost(i, h, byRevision)
+	for i, h := range sim.hosts {
+		sim.checkHost(i, h, byRevision)
 	}
 }
 
-func (w *world) checkHost(i int, h *host, accepted map[ident.Revision]Version) {
+func (sim *simulation) checkHost(i int, h *simulatedHost, accepted map[ident.Revision]Version) {
 	versions := h.machine.Snapshot().Versions
 	for team, before := range h.served {
-		require.GreaterOrEqual(w.t, versions[team].Revision, before.Revision, "host %d went back", i)
+		require.GreaterOrEqual(sim.t, versions[team].Revision, before.Revision, "host %d reverted to an older document", i)
 	}
 	for team, version := range versions {
-		require.Equal(w.t, accepted[version.Revision], version, "host %d serves what was not accepted", i)
+		require.Equal(sim.t, accepted[version.Revision], version, "host %d serves a document that was not accepted", i)
 		h.served[team] = version
 	}
 	for revision, version := range accepted {
 		if revision <= h.machine.Revision() {
-			require.GreaterOrEqual(w.t, versions[version.Team].Revision, revision,
+			require.GreaterOrEqual(sim.t, versions[version.Team].Revision, revision,
 				"host %d reports %d as in force", i, h.machine.Revision())
 		}
 	}
 }
 
-// checkTogether replays the log: at no time did the accepted documents clash.
-func (w *world) checkTogether() {
+// checkAcceptedTogether replays the accepted edits and checks that all documents
+// fitted together after each of them.
+func (sim *simulation) checkAcceptedTogether() {
 	docs := make(map[ident.TeamName]*document.Document)
-	for _, entry := range w.kv.log {
+	for _, entry := range sim.kv.versions {
 		delete(docs, entry.version.Team)
 		if entry.document != nil {
 			docs[entry.version.Team] = entry.document
 		}
-		require.Empty(w.t, teamdoc.CheckTogether(docs, twoServers), "after revision %d", entry.Revision)
+		require.Empty(sim.t, teamdoc.CheckTogether(docs, twoServers), "after revision %d", entry.Revision)
 	}
 }
 
-// settle ends all faults. Time passes until every host serves what is stored.
-func (w *world) settle() {
+// settleAll ends all faults and lets time pass until every host serves what is stored.
+func (sim *simulation) settleAll() {
 	const rounds = 400
-	w.kv.down = false
+	sim.kv.isDown = false
 	for range rounds {
-		w.step++
-		w.pass(time.Second)
-		for len(w.pending) > 0 {
-			w.deliver(0, false)
+		sim.stepCount++
+		sim.advance(time.Second)
+		for len(sim.pending) > 0 {
+			sim.deliver(0, false)
 		}
-		for i := range w.hosts {
-			w.watchStep(i, 0)
-			w.gossip(i, (i+1)%len(w.hosts))
+		for i := range sim.hosts {
+			sim.deliverWatchBatch(i, 0)
+			sim.exchange(i, (i+1)%len(sim.hosts))
 		}
-		w.check()
-		if w.isSettled() {
+		sim.checkInvariants()
+		if sim.hasSettled() {
 			return
 		}
 	}
-	require.Fail(w.t, "not settled", "%d pending, %+v", len(w.pending), w.hosts[0].machine.sync)
+	require.Fail(sim.t, "not settled", "%d pending, %+v", len(sim.pending), sim.hosts[0].machine.sync)
 }
 
-func (w *world) isSettled() bool {
+func (sim *simulation) hasSettled() bool {
 	var last ident.Revision
-	for _, entry := range w.kv.log {
+	for _, entry := range sim.kv.versions {
 		last = max(last, entry.Revision)
 	}
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.machine.Revision() != last || len(h.machine.edits) > 0 {
 			return false
 		}
 	}
-	for _, s := range w.edits {
-		if s.result == nil && w.hosts[s.host].life == s.life {
+	for _, s := range sim.edits {
+		if s.result == nil && sim.hosts[s.host].incarnation == s.incarnation {
 			return false
 		}
 	}
 	return true
 }
 
-// Several hosts, operators who race, and every fault of the brief in any order:
-// lost, late, doubled and reordered messages, answers lost after the write,
-// lagging readers and peers, silent and gappy watches, outages, restarts. No host
-// ever serves an older document again, no accepted edit is lost, no answer is
-// untrue, and once the faults end all hosts serve the same.
-func TestAcceptedEditsHoldEverywhere(t *testing.T) {
+// Several hosts and racing operators, with faults in any order: lost, late,
+// duplicated and reordered messages, answers lost after the write, lagging replicas
+// and peers, silent watches and watches with gaps, outages, restarts. No host goes
+// back to an older document, no accepted edit is lost, no result is wrong, and once
+// the faults end all hosts serve the same documents.
+func TestAcceptedEditsConvergeOnAllHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, 4, func(label string, n int) int {
+		sim := newSimulation(t, 4, func(label string, n int) int {
 			return rapid.IntRange(0, n-1).Draw(t, label)
 		})
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
-			w.act()
+			sim.randomStep()
 		}
-		w.settle()
-		w.checkTogether()
-		for _, h := range w.hosts {
-			require.Equal(t, w.hosts[0].machine.Snapshot().Versions, h.machine.Snapshot().Versions)
+		sim.settleAll()
+		sim.checkAcceptedTogether()
+		for _, h := range sim.hosts {
+			require.Equal(t, sim.hosts[0].machine.Snapshot().Versions, h.machine.Snapshot().Versions)
 		}
 	})
 }
@@ -211,8 +212,8 @@
 	deleted  bool
 }
 
-// editRegister is a document as operators see it: an edit is accepted exactly
-// where its base is what stands there.
+// editRegister models a document as operators see it: an edit is accepted only if its
+// base is the current revision.
 var editRegister = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byTeam := make(map[ident.TeamName][]porcupine.Operation)
@@ -239,31 +240,31 @@
 				deleted:  edit.Delete,
 			}
 		case Conflict:
-			// A host may answer from what it holds, so its word on what stands
-			// there may be old, but never ahead.
+			// A host may answer from the documents it knows, so the revision that it
+			// returns may be old, but never newer than the current one.
 			return result.Revision <= now.revision, now
 		}
 		return true, now
 	},
 }
 
-// The same faults. What operators were told, in the order in which they asked and
-// heard, could have come from one register that nobody else sees.
+// With the same faults, the results that operators got, in the order of their calls
+// and returns, are linearizable: one register could have given them.
 func TestEditsAreLinearizable(t *testing.T) {
 	const runs = 150
 	results := make(map[string]int)
 	for seed := range uint64(runs) {
 		random := rand.New(rand.NewPCG(seed, 7))
-		w := newWorld(t, 4, func(_ string, n int) int {
+		sim := newSimulation(t, 4, func(_ string, n int) int {
 			return random.IntN(n)
 		})
 		for range 250 {
-			w.act()
+			sim.randomStep()
 		}
-		w.settle()
-		w.checkTogether()
+		sim.settleAll()
+		sim.checkAcceptedTogether()
 		var history []porcupine.Operation
-		for i, s := range w.edits {
+		for i, s := range sim.edits {
 			operation := porcupine.Operation{
 				ClientId: i,
 				Input:    s.EditSubmitted,
@@ -271,9 +272,9 @@
 				Call:     int64(s.called),
 				Return:   int64(s.returned),
 			}
-			if !s.final() {
+			if !s.isFinal() {
 				operation.Return = math.MaxInt64
-				operation.Output = w.truthOf(s.Edit)
+				operation.Output = sim.storedResult(s.Edit)
 			}
 			history = append(history, operation)
 			results[fmt.Sprintf("%T", s.result)]++
@@ -283,13 +284,14 @@
 	}
 	t.Logf("seeds 0 to %d: %v", runs-1, results)
 	for _, kind := range []EditResult{Accepted{}, Conflict{}, Refused{}, Unavailable{}, Unknown{}} {
-		require.Greater(t, results[fmt.Sprintf("%T", kind)], runs/5, "%T must come up, or the runs show nothing of it", kind)
+		require.Greater(t, results[fmt.Sprintf("%T", kind)], runs/5, "the runs must produce enough results of type %T to test it", kind)
 	}
 }
 
-// truthOf gives the store's word on an edit whose operator never heard.
-func (w *world) truthOf(edit ident.EditID) EditResult {
-	for _, entry := range w.kv.log {
+// storedResult returns an edit's result according to the store, for an operator who
+// got no final one.
+func (sim *simulation) storedResult(edit ident.EditID) EditResult {
+	for _, entry := range sim.kv.versions {
 		if entry.version.Edit == edit {
 			return Accepted{
 				Revision: entry.Revision,
--- a/internal/control/documents/peer.go
+++ b/internal/control/documents/peer.go
@@ -8,35 +8,35 @@
 	"cicadaloom/internal/domain/store"
 )
 
-// Word is what one host tells another of documents.
+// Word is a message from one host to another with its documents.
 type Word struct {
-	// Since: the sender left out its documents up to this revision.
+	// Since is the revision up to which the sender left out its documents.
 	Since ident.Revision
-	// Complete: the sender has every accepted edit up to it.
+	// Complete is the revision up to which the sender has every accepted edit.
 	Complete  ident.Revision
 	Documents []PeerDocument
 }
 
-// PeerDocument is a stored document as it stands in the key-value service.
+// PeerDocument is a document's entry in the key-value service.
 type PeerDocument struct {
 	Team     ident.TeamName
 	Revision ident.Revision
 	Value    []byte
 }
 
-// Since gives the word for a peer that reported a revision as in force. The
-// peer needs all of it: no part of it would do.
+// Since returns the message for a peer that reported a revision as in force. It
+// must be sent whole: the receiver raises its complete revision by it.
 func (m *Machine) Since(revision ident.Revision) Word {
 	word := Word{
 		Since:    revision,
 		Complete: m.Revision(),
 	}
-	for team, h := range m.teams {
-		if h.version.Revision > revision {
+	for team, state := range m.teams {
+		if state.version.Revision > revision {
 			word.Documents = append(word.Documents, PeerDocument{
 				Team:     team,
-				Revision: h.version.Revision,
-				Value:    h.value,
+				Revision: state.version.Revision,
+				Value:    state.storedValue,
 			})
 		}
 	}
@@ -46,34 +46,34 @@
 	return word
 }
 
-func (m *Machine) peerSpoke(word Word) {
+func (m *Machine) handlePeerMessage(word Word) {
 	for _, d := range word.Documents {
-		m.learn(store.Entry{
+		m.applyEntry(store.Entry{
 			Key:      Key(d.Team),
 			Value:    d.Value,
 			Revision: d.Revision,
 		})
 	}
-	// The peer's completeness carries over only where it left out nothing that
-	// is missing here. A word that was meant for a later revision of this host's
-	// former life, or for somebody else, would make this host report edits as in
-	// force that it never saw.
-	if word.Since <= m.complete {
-		m.complete = max(m.complete, word.Complete)
+	// The peer's complete revision applies here only if the peer left out nothing
+	// that this host lacks. A message made for this host's previous incarnation,
+	// which had reached a later revision, or for another host would otherwise make
+	// this host report edits as in force that it has never received.
+	if word.Since <= m.completeRevision {
+		m.completeRevision = max(m.completeRevision, word.Complete)
 	}
 }
 
-// InForceOn tells on how many hosts, this one among them, every accepted edit
-// up to a revision is in force, and of how many hosts there is word.
-func (m *Machine) InForceOn(revision ident.Revision) (int, int) {
+// CountHostsInForce returns on how many hosts every accepted edit up to a revision
+// is in force, and how many hosts have reported; both include this host.
+func (m *Machine) CountHostsInForce(revision ident.Revision) (int, int) {
 	hosts := 0
 	if m.Revision() >= revision {
 		hosts++
 	}
-	for _, reported := range m.peers {
+	for _, reported := range m.peerRevisions {
 		if reported >= revision {
 			hosts++
 		}
 	}
-	return hosts, len(m.peers) + 1
+	return hosts, len(m.peerRevisions) + 1
 }
--- a/internal/control/documents/store_test.go
+++ b/internal/control/documents/store_test.go
@@ -11,28 +11,28 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// modelStore is the key-value service, as its documentation has it.
-type modelStore struct {
-	down     bool
+// fakeStore is an in-memory key-value service that behaves as its documentation says.
+type fakeStore struct {
+	isDown   bool
 	revision ident.Revision
 	entries  map[string]store.Entry
-	log      []logged
+	versions []storedVersion
 }
 
-// logged is a document that was accepted, at any time.
-type logged struct {
+// storedVersion is a version of a document that was stored at some time.
+type storedVersion struct {
 	store.Entry
 	version  Version
 	document *document.Document
 }
 
-func newModelStore() *modelStore {
-	return &modelStore{
+func newFakeStore() *fakeStore {
+	return &fakeStore{
 		entries: make(map[string]store.Entry),
 	}
 }
 
-func (s *modelStore) swap(swap store.Swap) store.SwapResult {
+func (s *fakeStore) swap(swap store.Swap) store.SwapResult {
 	result := store.SwapResult{
 		Swapped: true,
 	}
@@ -56,7 +56,7 @@
 	return result
 }
 
-func (s *modelStore) put(put store.Put) {
+func (s *fakeStore) put(put store.Put) {
 	entry := store.Entry{
 		Key:      put.Key,
 		Value:    put.Value,
@@ -64,11 +64,11 @@
 	}
 	s.entries[put.Key] = entry
 	if strings.HasPrefix(put.Key, Prefix) {
-		decoded, doc, err := decodeStored(entry.Key, entry.Revision, entry.Value)
+		decoded, doc, err := decodeStoredDocument(entry.Key, entry.Revision, entry.Value)
 		if err != nil {
 			panic(err)
 		}
-		s.log = append(s.log, logged{
+		s.versions = append(s.versions, storedVersion{
 			Entry:    entry,
 			version:  decoded.version,
 			document: doc,
@@ -76,10 +76,10 @@
 	}
 }
 
-// list gives the documents as they were at a revision.
-func (s *modelStore) list(at ident.Revision) store.Listing {
+// list returns the documents as they were at a revision.
+func (s *fakeStore) list(at ident.Revision) store.Listing {
 	newest := make(map[string]store.Entry)
-	for _, entry := range s.log {
+	for _, entry := range s.versions {
 		if entry.Revision <= at {
 			newest[entry.Key] = entry.Entry
 		}
@@ -93,7 +93,7 @@
 	return listing
 }
 
-func textOf(team ident.TeamName, model string, memory unit.Bytes, replicas int) []byte {
+func documentText(team ident.TeamName, model string, memory unit.Bytes, replicas int) []byte {
 	text, err := teamdoc.Write(&document.Document{
 		Team: team,
 		Classes: []document.Class{{
--- a/internal/control/documents/swap.go
+++ b/internal/control/documents/swap.go
@@ -13,7 +13,7 @@
 func (m *Machine) sendRead(now time.Time, e *edit) {
 	e.call = m.nextCall()
 	e.callDeadline = now.Add(m.config.CallTimeout)
-	m.do(Read{
+	m.emit(Read{
 		Call: e.call,
 		Key:  Key(e.Team),
 	})
@@ -22,23 +22,23 @@
 func (m *Machine) sendSwap(now time.Time, e *edit, base ident.Revision) {
 	e.call = m.nextCall()
 	e.callDeadline = now.Add(m.config.CallTimeout)
-	e.swapping = true
-	e.sent = m.summary
-	e.tries++
-	swap := m.swapOf(now, e, base)
-	e.value = swap.Puts[0].Value
-	m.do(Swap{
+	e.swapInFlight = true
+	e.comparedSummary = m.summaryRevision
+	e.attempts++
+	swap := m.buildSwap(now, e, base)
+	e.putValue = swap.Puts[0].Value
+	m.emit(Swap{
 		Call: e.call,
 		Edit: e.Edit,
 		Swap: swap,
 	})
 }
 
-// swapOf makes the one write of an edit: the document, the version before it
-// for the history, and the summary, whose compare keeps two documents from
-// being accepted that were not checked together.
-func (m *Machine) swapOf(now time.Time, e *edit, base ident.Revision) store.Swap {
-	next := stored{
+// buildSwap returns the single write of an edit: the document, the version before
+// it for the history, and the summary. The compare of the summary keeps documents
+// that were not checked together from both being accepted.
+func (m *Machine) buildSwap(now time.Time, e *edit, base ident.Revision) store.Swap {
+	newDocument := storedDocument{
 		version: Version{
 			Team:    e.Team,
 			Edit:    e.Edit,
@@ -46,10 +46,10 @@
 			Text:    e.Text,
 			Deleted: e.Delete,
 		},
-		after: m.summary,
+		previousEdit: m.summaryRevision,
 	}
 	if e.Delete {
-		next.version.Text = nil
+		newDocument.version.Text = nil
 	}
 	swap := store.Swap{
 		Compares: []store.Compare{
@@ -59,31 +59,31 @@
 			},
 			{
 				Key:      SummaryKey,
-				Revision: m.summary,
+				Revision: m.summaryRevision,
 			},
 		},
 	}
 	var history []store.Put
-	if h, found := m.teams[e.Team]; found {
-		next.earlier = append([]ref{{
-			edit:     h.version.Edit,
-			revision: h.version.Revision,
-		}}, h.earlier...)
+	if state, found := m.teams[e.Team]; found {
+		newDocument.earlierVersions = append([]versionRef{{
+			edit:     state.version.Edit,
+			revision: state.version.Revision,
+		}}, state.earlierVersions...)
 		history = append(history, store.Put{
-			Key:   historyKey(e.Team, h.version.Revision),
-			Value: encodeVersion(&h.version),
+			Key:   historyKey(e.Team, state.version.Revision),
+			Value: encodeVersion(&state.version),
 		})
 	}
-	if len(next.earlier) > keepEarlier {
-		for _, r := range next.earlier[keepEarlier:] {
+	if len(newDocument.earlierVersions) > maxEarlierVersions {
+		for _, r := range newDocument.earlierVersions[maxEarlierVersions:] {
 			swap.Deletes = append(swap.Deletes, historyKey(e.Team, r.revision))
 		}
-		next.earlier = next.earlier[:keepEarlier]
+		newDocument.earlierVersions = newDocument.earlierVersions[:maxEarlierVersions]
 	}
 	swap.Puts = append([]store.Put{
 		{
 			Key:   Key(e.Team),
-			Value: encodeStored(&next),
+			Value: encodeStoredDocument(&newDocument),
 		},
 		{
 			Key:   SummaryKey,
@@ -93,104 +93,105 @@
 	return swap
 }
 
-// callLost takes the answer of the call in flight for lost.
-func (m *Machine) callLost(e *edit) {
+// abandonCall treats the answer of the call in flight as lost.
+func (m *Machine) abandonCall(e *edit) {
 	e.call = 0
-	if e.swapping {
-		e.swapping = false
-		// The swap may have taken effect. Sending it again at once would be safe
-		// by its compares, but a read tells more: whose edit stands there now.
-		e.doubt = true
+	if e.swapInFlight {
+		e.swapInFlight = false
+		// The swap may have taken effect. Its compares would make sending it again
+		// at once safe, but a read also shows whose edit the key has now.
+		e.inDoubt = true
 		e.mustRead = true
 	}
 }
 
-func (m *Machine) swapAnswered(now time.Time, event SwapAnswered) {
-	m.learnCurrent(event)
-	e := m.editOf(event.Call)
+func (m *Machine) handleSwapAnswer(now time.Time, event SwapAnswered) {
+	m.applyCurrentEntries(event)
+	e := m.editForCall(event.Call)
 	if e == nil {
-		// The edit's deadline passed meanwhile and its operator was told Unknown.
-		// What it did to the store comes with the next listing.
-		m.sync.stale = m.sync.stale || (event.Outcome == SwapKnown && event.Result.Swapped)
+		// The edit's deadline has passed and its operator has got Unknown. If the
+		// swap took effect, the next listing has the document.
+		m.sync.needsListing = m.sync.needsListing || (event.Outcome == SwapCompleted && event.Result.Swapped)
 		return
 	}
 	switch event.Outcome {
-	case SwapKnown:
+	case SwapCompleted:
 		e.call = 0
-		e.swapping = false
+		e.swapInFlight = false
 		if event.Result.Swapped {
-			m.learn(store.Entry{
+			m.applyEntry(store.Entry{
 				Key:      Key(e.Team),
-				Value:    e.value,
+				Value:    e.putValue,
 				Revision: event.Result.Revision,
 			})
 			return
 		}
-		e.retryAt = now.Add(m.conflictPause(e))
+		e.retryAt = now.Add(m.conflictDelay(e))
 	case SwapUnavailable:
 		e.call = 0
-		e.swapping = false
-		m.notSwapped(now, e)
+		e.swapInFlight = false
+		m.handleUnavailableSwap(now, e)
 	case SwapUnknown:
-		m.callLost(e)
+		m.abandonCall(e)
 	}
 }
 
-func (m *Machine) notSwapped(now time.Time, e *edit) {
-	pause := m.pause(e.tries)
-	if e.doubtful() {
-		e.retryAt = now.Add(pause)
+func (m *Machine) handleUnavailableSwap(now time.Time, e *edit) {
+	delay := m.retryDelay(e.attempts)
+	if e.mayBeAccepted() {
+		e.retryAt = now.Add(delay)
 		e.mustRead = true
 		return
 	}
 	m.edits = m.edits[1:]
-	m.answer(e, Unavailable{
-		RetryAt: now.Add(pause),
+	m.answerEdit(e, Unavailable{
+		RetryAt: now.Add(delay),
 		Reason:  "the key-value service is unavailable",
 	})
 }
 
-// learnCurrent takes in what a failed swap found.
-func (m *Machine) learnCurrent(event SwapAnswered) {
-	if event.Outcome != SwapKnown || event.Result.Swapped {
+// applyCurrentEntries applies the entries that a failed swap returned.
+func (m *Machine) applyCurrentEntries(event SwapAnswered) {
+	if event.Outcome != SwapCompleted || event.Result.Swapped {
 		return
 	}
 	for _, entry := range event.Result.Current {
-		m.sync.need = max(m.sync.need, entry.Revision)
+		m.sync.neededRevision = max(m.sync.neededRevision, entry.Revision)
 		if entry.Key == SummaryKey {
-			m.learnSummary(entry.Revision, event.Result.Revision)
+			m.applySummary(entry.Revision, event.Result.Revision)
 			continue
 		}
-		m.learn(entry)
+		m.applyEntry(entry)
 	}
 }
 
-// conflictPause spreads hosts that race for the summary. Each conflict means
-// that somebody else's edit was accepted, so the race always ends.
-func (m *Machine) conflictPause(e *edit) time.Duration {
-	const longest = 20 * time.Millisecond
-	return time.Duration(m.random.Int64N(int64(longest) * int64(min(e.tries, 10))))
+// conflictDelay returns a random delay that spreads hosts that race for the
+// summary. Each conflict means that another edit was accepted, so the race ends.
+func (m *Machine) conflictDelay(e *edit) time.Duration {
+	const maxDelayPerAttempt = 20 * time.Millisecond
+	return time.Duration(m.random.Int64N(int64(maxDelayPerAttempt) * int64(min(e.attempts, 10))))
 }
 
-func (m *Machine) readAnswered(now time.Time, event ReadAnswered) {
+func (m *Machine) handleReadAnswer(now time.Time, event ReadAnswered) {
 	if !event.Failed {
-		m.learn(event.Entry)
+		m.applyEntry(event.Entry)
 	}
-	e := m.editOf(event.Call)
+	e := m.editForCall(event.Call)
 	if e == nil {
 		return
 	}
 	e.call = 0
 	if event.Failed {
-		e.tries++
-		e.retryAt = now.Add(m.pause(e.tries))
+		e.attempts++
+		e.retryAt = now.Add(m.retryDelay(e.attempts))
 		return
 	}
 	e.mustRead = false
 }
 
-// editOf finds the edit whose call is in flight: always the first.
-func (m *Machine) editOf(call CallID) *edit {
+// editForCall returns the edit that waits for a call's answer, or nil. Only the
+// first edit has a call in flight.
+func (m *Machine) editForCall(call CallID) *edit {
 	if len(m.edits) == 0 || call == 0 || m.edits[0].call != call {
 		return nil
 	}
