--- a/internal/control/documents/edit_test.go
+++ b/internal/control/documents/edit_test.go
@@ -203,11 +203,11 @@
 	unknown := onlyCommand[AnswerEdit](t, host.advance(time.Second))
 	require.IsType(t, Unknown{}, unknown.Result)
 	list := stepForOne[List](host, NewSwapAnswered(swap.Call, kv.swap(swap.Swap), nil))
-	inForce := stepForOne[InForce](host, ListingRead{
+	published := stepForOne[InForce](host, ListingRead{
 		Call:    list.Call,
 		Listing: kv.list(kv.revision),
 	})
-	require.Contains(t, inForce.Snapshot.Documents, ident.TeamName("a"))
+	require.Contains(t, published.Snapshot.Documents, ident.TeamName("a"))
 }
 
 func TestUnsoundEditsAreRefused(t *testing.T) {
--- a/internal/control/documents/message.go
+++ b/internal/control/documents/message.go
@@ -169,7 +169,7 @@
 	Prefix string
 }
 
-// Watch requests a watch of a prefix from the revision after After. It replaces the
+// A Watch requests a watch of a prefix from the revision after After, in place of the
 // previous watch.
 type Watch struct {
 	Watch  WatchID
--- a/internal/control/documents/peer.go
+++ b/internal/control/documents/peer.go
@@ -8,9 +8,9 @@
 	"cicadaloom/internal/domain/store"
 )
 
-// Word is a message from one host to another with its documents.
+// Word has the documents that one host sends another.
 type Word struct {
-	// Since is the revision up to which the sender left out its documents.
+	// The sender left out its documents up to the revision Since.
 	Since ident.Revision
 	// Complete is the revision up to which the sender has every accepted edit.
 	Complete  ident.Revision
@@ -27,27 +27,27 @@
 // Since returns the message for a peer that reported a revision as in force. It
 // must be sent whole: the receiver raises its complete revision by it.
 func (m *Machine) Since(revision ident.Revision) Word {
-	word := Word{
+	message := Word{
 		Since:    revision,
 		Complete: m.Revision(),
 	}
 	for team, state := range m.teams {
 		if state.version.Revision > revision {
-			word.Documents = append(word.Documents, PeerDocument{
+			message.Documents = append(message.Documents, PeerDocument{
 				Team:     team,
 				Revision: state.version.Revision,
 				Value:    state.storedValue,
 			})
 		}
 	}
-	slices.SortFunc(word.Documents, func(a, b PeerDocument) int {
+	slices.SortFunc(message.Documents, func(a, b PeerDocument) int {
 		return cmp.Compare(a.Revision, b.Revision)
 	})
-	return word
+	return message
 }
 
-func (m *Machine) handlePeerMessage(word Word) {
-	for _, d := range word.Documents {
+func (m *Machine) handlePeerMessage(message Word) {
+	for _, d := range message.Documents {
 		m.applyEntry(store.Entry{
 			Key:      Key(d.Team),
 			Value:    d.Value,
@@ -58,8 +58,8 @@
 	// that this host lacks. A message made for this host's previous incarnation,
 	// which had reached a later revision, or for another host would otherwise make
 	// this host report edits as in force that it has never received.
-	if word.Since <= m.completeRevision {
-		m.completeRevision = max(m.completeRevision, word.Complete)
+	if message.Since <= m.completeRevision {
+		m.completeRevision = max(m.completeRevision, message.Complete)
 	}
 }
 
--- a/internal/control/documents/sync_test.go
+++ b/internal/control/documents/sync_test.go
@@ -54,10 +54,10 @@
 	require.IsType(t, Unavailable{}, early.Result)
 	require.True(t, early.Result.(Unavailable).RetryAt.After(fresh.now))
 
-	inForce := stepForOne[InForce](fresh, PeerSpoke{
+	published := stepForOne[InForce](fresh, PeerSpoke{
 		Word: old.machine.Since(fresh.machine.Revision()),
 	})
-	require.Len(t, inForce.Snapshot.Documents, 2)
+	require.Len(t, published.Snapshot.Documents, 2)
 	require.Equal(t, revision, fresh.machine.Revision())
 
 	// An edit does not wait for the service and is not lost silently.
