--- a/internal/control/routing/baseline.go
+++ b/internal/control/routing/baseline.go
@@ -6,12 +6,12 @@
 	"cicadaloom/internal/domain/splitmix"
 )
 
-// Random takes any replica that is not ejected.
+// Random takes a random usable replica.
 type Random struct{}
 
 // Choose implements Policy.
 func (Random) Choose(target *Target, request *Request) (Choice, error) {
-	return firstFrom(target, request, splitmix.Mix(request.Dice+uint64(request.NumTried)))
+	return firstUsableFrom(target, request, splitmix.Mix(request.Dice+uint64(request.NumTried)))
 }
 
 // RoundRobin takes the replicas in turn.
@@ -21,10 +21,10 @@
 
 // Choose implements Policy.
 func (r *RoundRobin) Choose(target *Target, request *Request) (Choice, error) {
-	return firstFrom(target, request, r.next.Add(1))
+	return firstUsableFrom(target, request, r.next.Add(1))
 }
 
-// LeastReported takes the replica with the shortest queue in the last reports.
+// LeastReported takes the replica whose last report has the shortest queue.
 type LeastReported struct{}
 
 // Choose implements Policy.
@@ -32,33 +32,33 @@
 	var best *Replica
 	for i := range target.Replicas {
 		replica := &target.Replicas[i]
-		if !replica.usable(request) {
+		if !replica.isUsable(request) {
 			continue
 		}
-		if best == nil || replica.Gauge.queue.Load() < best.Gauge.queue.Load() {
+		if best == nil || replica.Gauge.reportedQueue.Load() < best.Gauge.reportedQueue.Load() {
 			best = replica
 		}
 	}
-	return chosen(best, request)
+	return newChoice(best, request)
 }
 
-func firstFrom(target *Target, request *Request, start uint64) (Choice, error) {
+func firstUsableFrom(target *Target, request *Request, start uint64) (Choice, error) {
 	count := uint64(len(target.Replicas))
 	for i := range count {
 		replica := &target.Replicas[(start+i)%count]
-		if replica.usable(request) {
-			return chosen(replica, request)
+		if replica.isUsable(request) {
+			return newChoice(replica, request)
 		}
 	}
 	return Choice{}, ErrNoReplica
 }
 
-func chosen(replica *Replica, request *Request) (Choice, error) {
+func newChoice(replica *Replica, request *Request) (Choice, error) {
 	if replica == nil {
 		return Choice{}, ErrNoReplica
 	}
 	return Choice{
 		Replica: replica,
-		Wait:    replica.Wait(request.Now, false),
+		Wait:    replica.ExpectedTTFT(request.Now, false),
 	}, nil
 }
--- a/internal/control/routing/bench_test.go
+++ b/internal/control/routing/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Sizes of today, of ten times that, and of the target.
+// Fleet sizes: a small fleet, ten times that, and the target size.
 var benchSizes = []struct {
 	servers int
 	models  int
@@ -16,18 +16,18 @@
 }
 
 const (
-	benchPerModel = 2
-	benchAdapters = 5
+	benchReplicasPerModel = 2
+	benchAdaptersPerModel = 5
 )
 
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range benchSizes {
-		w := newWorld(size.servers, 1, size.servers, 0)
-		target := w.target()
+		f := newTestFleet(size.servers, 1, size.servers, 0)
+		target := f.firstTarget()
 		b.Run(fmt.Sprintf("replicas=%d", size.servers), func(b *testing.B) {
 			b.ReportAllocs()
 			request := Request{
-				Now: w.now,
+				Now: f.now,
 			}
 			for i := 0; b.Loop(); i++ {
 				request.Dice = uint64(i)
@@ -42,47 +42,46 @@
 	}
 }
 
-// One report comes and the table is made anew: what the control goroutine does
-// for each burst of reports.
+// One report arrives and the next table is requested: what the control goroutine
+// does for each burst of reports.
 func BenchmarkTable(b *testing.B) {
 	for _, size := range benchSizes {
-		w := newWorld(size.servers, size.models, benchPerModel, benchAdapters)
+		f := newTestFleet(size.servers, size.models, benchReplicasPerModel, benchAdaptersPerModel)
 		b.Run(fmt.Sprintf("servers=%d/models=%d", size.servers, size.models), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				w.tellReport(engineName(i % size.servers))
-				w.machine.Table()
+				f.sendReport(engineName(i % size.servers))
+				f.machine.Table()
 			}
 		})
 	}
 }
 
-// Weights come or go at one server, as with each load that the weight store
-// paces: the targets of these weights are made anew.
+// Weights become ready, or stop being so, on one server: their targets are rebuilt.
 func BenchmarkTableChanged(b *testing.B) {
 	for _, size := range benchSizes {
-		w := newWorld(size.servers, size.models, benchPerModel, benchAdapters)
+		f := newTestFleet(size.servers, size.models, benchReplicasPerModel, benchAdaptersPerModel)
 		b.Run(fmt.Sprintf("servers=%d/models=%d", size.servers, size.models), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				resident := &w.reports[engineName(0)].Residents[0]
+				resident := &f.reports[engineName(0)].Residents[0]
 				resident.Ready = !resident.Ready
-				w.tellReport(engineName(0))
-				w.machine.Table()
+				f.sendReport(engineName(0))
+				f.machine.Table()
 			}
 		})
 	}
 }
 
-// A document changes: every target is made anew.
+// A document changes: every target is rebuilt.
 func BenchmarkTableDocuments(b *testing.B) {
 	for _, size := range benchSizes {
-		w := newWorld(size.servers, size.models, benchPerModel, benchAdapters)
+		f := newTestFleet(size.servers, size.models, benchReplicasPerModel, benchAdaptersPerModel)
 		b.Run(fmt.Sprintf("servers=%d/models=%d", size.servers, size.models), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				w.tellDocuments()
-				w.machine.Table()
+				f.sendDocuments()
+				f.machine.Table()
 			}
 		})
 	}
--- a/internal/control/routing/build.go
+++ b/internal/control/routing/build.go
@@ -13,22 +13,23 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// subject is what a target stands for: a model, an adapter of it, or a plain service.
-type subject struct {
+// targetKey identifies a target: a model, an adapter of it, or a plain service.
+type targetKey struct {
 	model   ident.ModelName
 	adapter ident.AdapterName
 	service ident.ServiceName
 }
 
-// label is the name that callers use of a model or adapter.
-func (s subject) label() ident.ModelName {
-	if s.adapter != "" {
-		return ident.ModelName(s.adapter)
+// label is the name that callers use for a model or adapter.
+func (k targetKey) label() ident.ModelName {
+	if k.adapter != "" {
+		return ident.ModelName(k.adapter)
 	}
-	return s.model
+	return k.model
 }
 
-// declaration is a document's word on a subject; one of model and service is set.
+// declaration is what a document states about a target; one of model and service
+// is set.
 type declaration struct {
 	document *document.Document
 	model    *document.Model
@@ -38,18 +39,18 @@
 	shares []int
 }
 
-// declare takes in the documents. All targets are made anew.
-func (m *Machine) declare(e Documents) {
+// applyDocuments replaces the documents. All targets are rebuilt.
+func (m *Machine) applyDocuments(e Documents) {
 	m.revision = e.Revision
-	m.declared = make(map[subject]declaration)
+	m.declarations = make(map[targetKey]declaration)
 	m.table = nil
 	for _, doc := range e.Documents {
-		shares := sharesOf(doc)
+		shares := classShares(doc)
 		for i := range doc.Models {
 			m.declareModel(doc, &doc.Models[i], shares)
 		}
 		for i := range doc.Services {
-			m.declared[subject{service: doc.Services[i].Name}] = declaration{
+			m.declarations[targetKey{service: doc.Services[i].Name}] = declaration{
 				document: doc,
 				service:  &doc.Services[i],
 				shares:   shares,
@@ -59,7 +60,7 @@
 }
 
 func (m *Machine) declareModel(doc *document.Document, model *document.Model, shares []int) {
-	m.declared[subject{model: model.Name}] = declaration{
+	m.declarations[targetKey{model: model.Name}] = declaration{
 		document: doc,
 		model:    model,
 		version:  model.Version,
@@ -67,7 +68,7 @@
 	}
 	for i := range model.Adapters {
 		adapter := &model.Adapters[i]
-		m.declared[subject{model: model.Name, adapter: adapter.Name}] = declaration{
+		m.declarations[targetKey{model: model.Name, adapter: adapter.Name}] = declaration{
 			document: doc,
 			model:    model,
 			version:  adapter.Version,
@@ -76,7 +77,7 @@
 	}
 }
 
-func sharesOf(doc *document.Document) []int {
+func classShares(doc *document.Document) []int {
 	shares := make([]int, 0, len(doc.Classes))
 	for i := range doc.Classes {
 		shares = append(shares, doc.Classes[i].Share)
@@ -84,175 +85,177 @@
 	return shares
 }
 
-// Table gives the table of what the machine knows now: the one before where
-// nothing has changed that tables show. A table for the whole fleet is large, so
-// only the targets whose servers changed are made anew. Loads are not in it:
-// traffic reads them from the Gauges.
+// Table returns the table of the machine's current state, which is the previous one
+// if nothing has changed that tables contain. A table for the whole fleet is large,
+// so only the targets whose servers have changed are rebuilt. Server loads are not
+// in it: traffic goroutines read them from the LoadTrackers.
 func (m *Machine) Table() *Table {
 	switch {
 	case m.table == nil:
-		m.table = m.wholeTable()
-	case len(m.stale) > 0 || m.table.hosts != m.hosts:
-		m.table = m.changedTable()
+		m.table = m.buildTable()
+	case len(m.staleTargets) > 0 || m.table.hostsInRegion != m.hostsInRegion:
+		m.table = m.updateTable()
 	}
-	clear(m.stale)
+	clear(m.staleTargets)
 	return m.table
 }
 
-func (m *Machine) wholeTable() *Table {
+func (m *Machine) buildTable() *Table {
 	table := &Table{
-		Documents: m.revision,
-		hosts:     m.hosts,
-		models:    make(map[ident.ModelName]*Target, len(m.declared)),
-		services:  make(map[ident.ServiceName]*Target),
+		DocumentsRevision: m.revision,
+		hostsInRegion:     m.hostsInRegion,
+		models:            make(map[ident.ModelName]*Target, len(m.declarations)),
+		services:          make(map[ident.ServiceName]*Target),
 	}
 	for _, server := range m.servers {
-		m.keepTeams(server)
+		m.pruneTeams(server)
 	}
-	for about := range m.declared {
-		m.place(table, about)
+	for key := range m.declarations {
+		m.addTarget(table, key)
 	}
 	table.names = slices.Sorted(maps.Keys(table.models))
 	return table
 }
 
-func (m *Machine) changedTable() *Table {
+func (m *Machine) updateTable() *Table {
 	table := &Table{
-		Documents: m.revision,
-		hosts:     m.hosts,
-		models:    maps.Clone(m.table.models),
-		services:  maps.Clone(m.table.services),
-		names:     m.table.names,
+		DocumentsRevision: m.revision,
+		hostsInRegion:     m.hostsInRegion,
+		models:            maps.Clone(m.table.models),
+		services:          maps.Clone(m.table.services),
+		names:             m.table.names,
 	}
-	for about := range m.stale {
-		m.place(table, about)
+	for key := range m.staleTargets {
+		m.addTarget(table, key)
 	}
 	return table
 }
 
-// place puts a subject's target into a table, if a document declares it.
-func (m *Machine) place(table *Table, about subject) {
-	declared, found := m.declared[about]
+// addTarget adds a target to a table, if a document declares it.
+func (m *Machine) addTarget(table *Table, key targetKey) {
+	decl, found := m.declarations[key]
 	switch {
 	case !found:
-	case declared.service != nil:
-		table.services[about.service] = m.serviceTarget(about, declared)
+	case decl.service != nil:
+		table.services[key.service] = m.serviceTarget(key, decl)
 	default:
-		table.models[about.label()] = m.modelTarget(about, declared)
+		table.models[key.label()] = m.modelTarget(key, decl)
 	}
 }
 
-func (m *Machine) serviceTarget(about subject, declared declaration) *Target {
+func (m *Machine) serviceTarget(key targetKey, decl declaration) *Target {
 	target := &Target{
-		Team:     declared.document.Team,
-		Service:  declared.service,
-		Promise:  declared.service.Promise,
-		Document: declared.document,
+		Team:     decl.document.Team,
+		Service:  decl.service,
+		Promise:  decl.service.Promise,
+		Document: decl.document,
 	}
-	for _, server := range m.holdersOf(about) {
-		target.Replicas = append(target.Replicas, m.replica(server, declared, readyVersion{}))
+	for _, server := range m.availableServers(key) {
+		target.Replicas = append(target.Replicas, m.replica(server, decl, readyVersion{}))
 	}
-	m.arrange(target)
+	m.orderByRegion(target)
 	return target
 }
 
-func (m *Machine) modelTarget(about subject, declared declaration) *Target {
+func (m *Machine) modelTarget(key targetKey, decl declaration) *Target {
 	target := &Target{
-		Team:      declared.document.Team,
-		Model:     about.model,
-		Adapter:   about.adapter,
-		Version:   declared.version,
-		MayRepeat: declared.model.MayRepeat,
-		Promise:   declared.model.Promise,
-		Document:  declared.document,
+		Team:      decl.document.Team,
+		Model:     key.model,
+		Adapter:   key.adapter,
+		Version:   decl.version,
+		MayRepeat: decl.model.MayRepeat,
+		Promise:   decl.model.Promise,
+		Document:  decl.document,
 	}
-	var others []Replica
-	for _, server := range m.holdersOf(about) {
-		for _, ready := range server.ready[about] {
-			replica := m.replica(server, declared, ready)
-			if ready.version == declared.version {
+	var otherVersions []Replica
+	for _, server := range m.availableServers(key) {
+		for _, ready := range server.ready[key] {
+			replica := m.replica(server, decl, ready)
+			if ready.version == decl.version {
 				target.Replicas = append(target.Replicas, replica)
 			} else {
-				others = append(others, replica)
+				otherVersions = append(otherVersions, replica)
 			}
 		}
 	}
-	// While a version change is under way the new version is ready at none or a
-	// few of the replicas. Sent there alone, the model's whole demand would
-	// find it unreachable or drown the first one; so the replicas of the version
-	// before go on answering until the new one has its least number.
-	if len(target.Replicas) < declared.model.Replicas {
-		target.Replicas = append(target.Replicas, others...)
+	// While a version change is in progress, the new version is ready on few
+	// replicas or none. If all requests went to these, the model would be
+	// unreachable or its first replica overloaded; so the replicas of the other
+	// versions keep answering until the new one has its minimum number of replicas.
+	if len(target.Replicas) < decl.model.Replicas {
+		target.Replicas = append(target.Replicas, otherVersions...)
 	}
-	m.arrange(target)
+	m.orderByRegion(target)
 	return target
 }
 
-// keepTeams forgets the teams that declare nothing that the server holds.
-func (m *Machine) keepTeams(server *serverState) {
+// pruneTeams removes the shares of teams that declare nothing that is ready on the
+// server.
+func (m *Machine) pruneTeams(server *serverState) {
 	teams := make(map[ident.TeamName]bool)
-	for about := range server.ready {
-		if declared, found := m.declared[about]; found {
-			teams[declared.document.Team] = true
+	for key := range server.ready {
+		if decl, found := m.declarations[key]; found {
+			teams[decl.document.Team] = true
 		}
 	}
-	server.gauge.uses.Keep(func(team ident.TeamName) bool { return teams[team] })
+	server.loadTracker.admission.Keep(func(team ident.TeamName) bool { return teams[team] })
 }
 
-// holdersOf gives the servers that take work on a subject, by name.
-func (m *Machine) holdersOf(about subject) []*serverState {
+// availableServers returns the servers that can take requests for a target, by
+// name.
+func (m *Machine) availableServers(key targetKey) []*serverState {
 	var servers []*serverState
-	for _, name := range m.holders[about] {
-		if server := m.servers[name]; server.takesWork() {
+	for _, name := range m.serversByTarget[key] {
+		if server := m.servers[name]; server.isAvailable() {
 			servers = append(servers, server)
 		}
 	}
 	return servers
 }
 
-func (m *Machine) replica(server *serverState, declared declaration, ready readyVersion) Replica {
+func (m *Machine) replica(server *serverState, decl declaration, ready readyVersion) Replica {
 	return Replica{
-		Server:      server.listed.Name,
-		Address:     server.listed.Address,
-		Incarnation: server.report.Incarnation,
-		Version:     ready.version,
-		Kind:        server.listed.Kind,
-		DataCentre:  server.listed.DataCentre,
-		Region:      server.listed.Region,
-		Gauge:       server.gauge,
-		Team:        server.gauge.uses.Team(declared.document.Team, declared.shares),
-		seed:        xxhash.Sum64String(string(server.listed.Name)),
-		absentUntil: &atomic.Int64{},
-		warmFrom:    ready.since.Add(slowStart),
-		far:         server.listed.Region != m.Place.Region,
-		wayBack:     m.wayTo(server.listed),
+		Server:         server.listed.Name,
+		Address:        server.listed.Address,
+		Incarnation:    server.report.Incarnation,
+		Version:        ready.version,
+		Kind:           server.listed.Kind,
+		DataCentre:     server.listed.DataCentre,
+		Region:         server.listed.Region,
+		Gauge:          server.loadTracker,
+		Team:           server.loadTracker.admission.Team(decl.document.Team, decl.shares),
+		nameHash:       xxhash.Sum64String(string(server.listed.Name)),
+		missingUntil:   &atomic.Int64{},
+		slowStartUntil: ready.since.Add(slowStartDuration),
+		inOtherRegion:  server.listed.Region != m.Place.Region,
+		roundTrip:      m.roundTripTo(server.listed),
 	}
 }
 
-func (m *Machine) wayTo(server backend.Server) time.Duration {
+func (m *Machine) roundTripTo(server backend.Server) time.Duration {
 	switch {
 	case server.DataCentre == m.Place.DataCentre:
-		return wayInDataCentre
+		return roundTripInDataCentre
 	case server.Region == m.Place.Region:
-		return wayInRegion
+		return roundTripInRegion
 	default:
-		return wayToRegion
+		return roundTripToOtherRegion
 	}
 }
 
-// arrange puts the replicas of this host's region first.
-func (m *Machine) arrange(target *Target) {
-	arranged := make([]Replica, 0, len(target.Replicas))
+// orderByRegion puts the replicas of this host's region first.
+func (m *Machine) orderByRegion(target *Target) {
+	ordered := make([]Replica, 0, len(target.Replicas))
 	for i := range target.Replicas {
 		if target.Replicas[i].Region == m.Place.Region {
-			arranged = append(arranged, target.Replicas[i])
+			ordered = append(ordered, target.Replicas[i])
 		}
 	}
-	target.nearby = len(arranged)
+	target.localCount = len(ordered)
 	for i := range target.Replicas {
 		if target.Replicas[i].Region != m.Place.Region {
-			arranged = append(arranged, target.Replicas[i])
+			ordered = append(ordered, target.Replicas[i])
 		}
 	}
-	target.Replicas = arranged
+	target.Replicas = ordered
 }
--- a/internal/control/routing/choose.go
+++ b/internal/control/routing/choose.go
@@ -13,33 +13,35 @@
 // ErrNoReplica says that no backend server can take the request now.
 var ErrNoReplica = errors.New("no replica takes work")
 
-// MaxTried bounds the backend servers that one request may be sent to.
+// MaxTried is the maximum number of backend servers that one request is sent to.
 const MaxTried = 4
 
-// Request is what a choice needs to know of a request.
+// Request has the properties of a request that a choice depends on.
 type Request struct {
 	Now time.Time
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
-	// Dice are random bits of this request, the same for each of its choices.
+	// Dice has random bits, the same for each choice of one request.
 	Dice uint64
-	// Prefix is a hash of the request's beginning; requests with the same one
-	// find their prompt in the same replica's cache.
+	// Prefix is a hash of the request's beginning; requests with the same one find
+	// their prompt in the same replica's cache.
 	Prefix uint64
 	// Fingerprint is a hash of the request's content.
 	Fingerprint uint64
-	// Confined asks for one of the two replicas that the content points to. All
-	// hosts find the same two, so that however many copies of a request come
-	// through however many hosts, no more than two replicas run it.
+	// Confined restricts the choice to the two replicas preferred for Prefix and
+	// Fingerprint. All hosts find the same two, so that no more than two replicas
+	// run a content, however many copies of the request arrive at however many
+	// hosts.
 	Confined bool
-	// Tried are the servers that have had the request, in the first NumTried.
+	// Tried has the servers that have already been sent the request, in its first
+	// NumTried elements.
 	Tried    [MaxTried]ident.ServerName
 	NumTried int
-	// Alone asks for a replica with nothing else under way.
+	// Alone restricts the choice to replicas with no other request in flight.
 	Alone bool
-	// Elsewhere asks for a replica in another region instead of this one.
+	// Elsewhere selects replicas in another region instead of this one.
 	Elsewhere bool
-	// Version, where set, is the only one that can go on with a stream's answer.
+	// Version, if set, is the only version that can continue the answer of a stream.
 	Version ident.Version
 }
 
@@ -51,12 +53,13 @@
 }
 
 // Policy picks a replica for a request. The policies other than LeastCost are
-// baselines that measurements compare it with.
+// baselines to compare it with.
 type Policy interface {
 	Choose(target *Target, request *Request) (Choice, error)
 }
 
-// NewPolicy gives the policy of a name that the settings allow.
+// NewPolicy returns the policy of a name in the settings; the empty name is
+// LeastCost.
 func NewPolicy(name string) (Policy, error) {
 	switch name {
 	case "", NameLeastCost:
@@ -79,156 +82,161 @@
 	NameLeastReported = "LeastReported"
 )
 
-// Costs that are not measured times.
+// Constants of the cost, beside measured times.
 const (
-	// guessPrompt and guessGeneration stand in until a server has answered.
-	guessPrompt     = 50 * time.Millisecond
-	guessGeneration = 100 * time.Millisecond
-	// cacheSaves is the part of the first token's time that a cached prefix saves.
-	cacheSaves = 0.8
-	// coldSurcharge is added to the cost of a replica in its slow start.
-	coldSurcharge = 40 * time.Millisecond
-	// silentSurcharge is added where no trusted report stands behind the figures.
-	silentSurcharge = 20 * time.Millisecond
+	// defaultPrefillTime and defaultGenerationTime are used until a server has
+	// answered.
+	defaultPrefillTime    = 50 * time.Millisecond
+	defaultGenerationTime = 100 * time.Millisecond
+	// prefixCacheSaving is the fraction of the prefill time that a cached prefix
+	// saves.
+	prefixCacheSaving = 0.8
+	// slowStartPenalty is added to the cost of a replica in its slow start.
+	slowStartPenalty = 40 * time.Millisecond
+	// noReportPenalty is added to the cost of a replica that has no recent report.
+	noReportPenalty = 20 * time.Millisecond
 )
 
-// sampled is how many random candidates LeastCost looks at beside the one whose
-// cache the request's prefix points to.
-const sampled = 2
+// sampleSize is the number of random candidates that LeastCost looks at in addition
+// to the replica that is preferred for the request's prefix.
+const sampleSize = 2
 
-// LeastCost takes the cheapest of a few random candidates and the replica that
-// the request's prefix points to.
+// LeastCost takes the cheapest of a few random candidates and the replica that is
+// preferred for the request's prefix.
 type LeastCost struct{}
 
 // Choose implements Policy.
 func (LeastCost) Choose(target *Target, request *Request) (Choice, error) {
-	from, to := 0, target.nearby
+	from, to := 0, target.localCount
 	if request.Elsewhere {
-		from, to = target.nearby, len(target.Replicas)
+		from, to = target.localCount, len(target.Replicas)
 	}
-	if choice, found := cheapest(target, request, from, to); found {
+	if choice, found := cheapestReplica(target, request, from, to); found {
 		return choice, nil
 	}
 	return Choice{}, ErrNoReplica
 }
 
-func cheapest(target *Target, request *Request, from, to int) (Choice, bool) {
+func cheapestReplica(target *Target, request *Request, from, to int) (Choice, bool) {
 	best := Choice{}
 	if from == to {
 		return best, false
 	}
-	home := target.home(request.Prefix, from, to)
-	consider(&best, target, request, home, home)
+	preferred := target.preferredReplica(request.Prefix, from, to)
+	considerReplica(&best, target, request, preferred, preferred)
 	if request.Confined {
-		consider(&best, target, request, target.second(request.Fingerprint, home, from, to), home)
+		considerReplica(&best, target, request, target.secondPreferredReplica(request.Fingerprint, preferred, from, to), preferred)
 		return best, best.Replica != nil
 	}
 	count := uint64(to - from)
-	dice := splitmix.Mix(request.Dice + uint64(request.NumTried))
-	for range sampled {
-		consider(&best, target, request, from+int(dice%count), home)
-		dice = splitmix.Mix(dice)
+	random := splitmix.Mix(request.Dice + uint64(request.NumTried))
+	for range sampleSize {
+		considerReplica(&best, target, request, from+int(random%count), preferred)
+		random = splitmix.Mix(random)
 	}
 	if best.Replica != nil {
 		return best, true
 	}
-	// Everything drawn was tried, ejected or busy: look at all of them.
+	// All candidates were tried, ejected or busy: look at all replicas.
 	for i := from; i < to; i++ {
-		consider(&best, target, request, i, home)
+		considerReplica(&best, target, request, i, preferred)
 	}
 	return best, best.Replica != nil
 }
 
-// second gives the other replica that a content points to beside its home.
-func (t *Target) second(fingerprint uint64, home, from, to int) int {
-	second, highest := home, uint64(0)
+// secondPreferredReplica returns the index of the replica, other than preferred,
+// that has the highest rendezvous weight for a content.
+func (t *Target) secondPreferredReplica(fingerprint uint64, preferred, from, to int) int {
+	second, highest := preferred, uint64(0)
 	for i := from; i < to; i++ {
-		if weight := t.Replicas[i].weight(fingerprint); i != home && weight > highest {
+		if weight := t.Replicas[i].rendezvousWeight(fingerprint); i != preferred && weight > highest {
 			second, highest = i, weight
 		}
 	}
 	return second
 }
 
-// home gives the replica whose cache is likely to have a prefix, by rendezvous
-// hashing: every host finds the same one without any table, and when a replica
-// comes or goes only its own prefixes move.
-func (t *Target) home(prefix uint64, from, to int) int {
-	home, highest := from, uint64(0)
+// preferredReplica returns the index of the replica whose cache is likely to have a
+// prefix, by rendezvous hashing: every host finds the same one without a shared
+// table, and when a replica is added or removed only the prefixes of that replica
+// move.
+func (t *Target) preferredReplica(prefix uint64, from, to int) int {
+	preferred, highest := from, uint64(0)
 	for i := from; i < to; i++ {
-		if weight := t.Replicas[i].weight(prefix); weight > highest {
-			home, highest = i, weight
+		if weight := t.Replicas[i].rendezvousWeight(prefix); weight > highest {
+			preferred, highest = i, weight
 		}
 	}
-	return home
+	return preferred
 }
 
-// weight orders the replicas for a hash, which is random bits as the seed is.
-func (r *Replica) weight(hash uint64) uint64 {
-	weight := (hash ^ r.seed) * 0x9e3779b97f4a7c15
+// rendezvousWeight combines a hash with the hash of the server's name, so that each
+// hash orders the replicas in its own way.
+func (r *Replica) rendezvousWeight(hash uint64) uint64 {
+	weight := (hash ^ r.nameHash) * 0x9e3779b97f4a7c15
 	return (weight ^ weight>>32) * 0x9e3779b97f4a7c15
 }
 
-func consider(best *Choice, target *Target, request *Request, index, home int) {
+func considerReplica(best *Choice, target *Target, request *Request, index, preferred int) {
 	replica := &target.Replicas[index]
-	if !replica.usable(request) {
+	if !replica.isUsable(request) {
 		return
 	}
-	wait := replica.Wait(request.Now, index == home)
-	if best.Replica == nil || wait < best.Wait {
+	ttft := replica.ExpectedTTFT(request.Now, index == preferred)
+	if best.Replica == nil || ttft < best.Wait {
 		best.Replica = replica
-		best.Wait = wait
+		best.Wait = ttft
 	}
 }
 
-func (r *Replica) usable(request *Request) bool {
+func (r *Replica) isUsable(request *Request) bool {
 	for i := range request.NumTried {
 		if request.Tried[i] == r.Server {
 			return false
 		}
 	}
-	if r.far != request.Elsewhere {
+	if r.inOtherRegion != request.Elsewhere {
 		return false
 	}
-	if request.Alone && !r.Gauge.Idle() {
+	if request.Alone && !r.Gauge.IsIdle() {
 		return false
 	}
 	if request.Version != "" && request.Version != r.Version {
 		return false
 	}
-	return !r.Gauge.Ejected(request.Now) && r.absentUntil.Load() <= request.Now.UnixNano()
+	return !r.Gauge.IsEjected(request.Now) && r.missingUntil.Load() <= request.Now.UnixNano()
 }
 
-// Wait gives the expected time to the first token at a replica.
-func (r *Replica) Wait(now time.Time, cached bool) time.Duration {
-	prompt := r.Gauge.Prompt()
-	generation := r.Gauge.Generation()
-	queue := r.Gauge.Queue(now)
+// ExpectedTTFT returns the expected time to the first token (TTFT) at a replica.
+func (r *Replica) ExpectedTTFT(now time.Time, hasCachedPrefix bool) time.Duration {
+	prefill := r.Gauge.PrefillTime()
+	generation := r.Gauge.GenerationTime()
+	queue := r.Gauge.EstimateQueue(now)
 	slots := r.Gauge.Slots()
-	wait := r.wayBack + time.Duration(queue/slots*float64(prompt))
+	expected := r.roundTrip + time.Duration(queue/slots*float64(prefill))
 	if queue >= slots {
-		wait += time.Duration((queue - slots + 1) / slots * float64(prompt+generation))
+		expected += time.Duration((queue - slots + 1) / slots * float64(prefill+generation))
 	}
-	cold := now.Before(r.warmFrom)
-	if cached && !cold {
-		prompt = time.Duration(float64(prompt) * (1 - cacheSaves))
+	inSlowStart := now.Before(r.slowStartUntil)
+	if hasCachedPrefix && !inSlowStart {
+		prefill = time.Duration(float64(prefill) * (1 - prefixCacheSaving))
 	}
-	wait += prompt
-	if cold {
-		wait += coldSurcharge
+	expected += prefill
+	if inSlowStart {
+		expected += slowStartPenalty
 	}
 	if !r.Gauge.Known(now) {
-		wait += silentSurcharge
+		expected += noReportPenalty
 	}
-	return wait
+	return expected
 }
 
-// Load gives what is believed of a replica's server, for admission.
+// Load returns the estimated load of the replica's server, for admission.
 func (r *Replica) Load(now time.Time) admission.Load {
 	return admission.Load{
-		Queue: r.Gauge.Queue(now),
+		Queue: r.Gauge.EstimateQueue(now),
 		Slots: r.Gauge.Slots(),
-		Empty: r.wayBack + r.Gauge.Prompt(),
-		Whole: r.Gauge.Prompt() + r.Gauge.Generation(),
+		Empty: r.roundTrip + r.Gauge.PrefillTime(),
+		Whole: r.Gauge.PrefillTime() + r.Gauge.GenerationTime(),
 	}
 }
--- a/internal/control/routing/world_test.go
+++ b/internal/control/routing/fleet_test.go
@@ -9,9 +9,9 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// world has a machine with a number of engines and models, for tests and
-// benchmarks: each model on perModel engines, each with adapters.
-type world struct {
+// testFleet has a machine with a number of engines and models, for tests and
+// benchmarks: each model on the same number of engines, and with adapters.
+type testFleet struct {
 	machine Machine
 	servers []backend.Server
 	reports map[ident.ServerName]*backend.Report
@@ -20,16 +20,16 @@
 }
 
 const (
-	testRegion = ident.Region("finistere")
-	testCentre = ident.DataCentre("brest-a")
-	testTeam   = ident.TeamName("kerlouan")
+	testRegion     = ident.Region("finistere")
+	testDataCentre = ident.DataCentre("brest-a")
+	testTeam       = ident.TeamName("kerlouan")
 )
 
-func newWorld(engines, models, perModel, adapters int) *world {
-	w := &world{
+func newTestFleet(engines, models, replicasPerModel, adapters int) *testFleet {
+	f := &testFleet{
 		machine: Machine{
 			Place: Place{
-				DataCentre: testCentre,
+				DataCentre: testDataCentre,
 				Region:     testRegion,
 			},
 		},
@@ -40,15 +40,15 @@
 		now: time.Unix(1_000_000, 0),
 	}
 	for i := range engines {
-		w.addEngine(engineName(i))
+		f.addEngine(engineName(i))
 	}
 	for i := range models {
-		w.addModel(i, perModel, adapters)
+		f.addModel(i, replicasPerModel, adapters)
 	}
-	w.tellDocuments()
-	w.tellList()
-	w.tellReports()
-	return w
+	f.sendDocuments()
+	f.sendServerList()
+	f.sendReports()
+	return f
 }
 
 func engineName(i int) ident.ServerName {
@@ -59,23 +59,23 @@
 	return ident.ModelName(fmt.Sprintf("model-%04d", i))
 }
 
-func (w *world) addEngine(name ident.ServerName) {
-	w.servers = append(w.servers, backend.Server{
+func (f *testFleet) addEngine(name ident.ServerName) {
+	f.servers = append(f.servers, backend.Server{
 		Name:       name,
 		Kind:       backend.KindEngine,
 		State:      backend.StateLive,
 		Address:    "10.0.0.1:" + string(name),
-		DataCentre: testCentre,
+		DataCentre: testDataCentre,
 		Region:     testRegion,
 	})
-	w.reports[name] = &backend.Report{
+	f.reports[name] = &backend.Report{
 		Server:      name,
 		Incarnation: ident.Incarnation("inc-" + name),
 		Slots:       8,
 	}
 }
 
-func (w *world) addModel(index, perModel, adapters int) {
+func (f *testFleet) addModel(index, replicas, adapters int) {
 	model := document.Model{
 		Name:      modelName(index),
 		Version:   "1",
@@ -91,14 +91,14 @@
 			Version: "1",
 		})
 	}
-	w.doc.Models = append(w.doc.Models, model)
-	for i := range perModel {
-		w.reside(engineName((index*perModel+i)%len(w.servers)), &model)
+	f.doc.Models = append(f.doc.Models, model)
+	for i := range replicas {
+		f.addResidents(engineName((index*replicas+i)%len(f.servers)), &model)
 	}
 }
 
-func (w *world) reside(server ident.ServerName, model *document.Model) {
-	report := w.reports[server]
+func (f *testFleet) addResidents(server ident.ServerName, model *document.Model) {
+	report := f.reports[server]
 	report.Residents = append(report.Residents, backend.Resident{
 		Model:   model.Name,
 		Version: model.Version,
@@ -114,43 +114,43 @@
 	}
 }
 
-func (w *world) tellDocuments() {
-	w.machine.Step(w.now, Documents{
-		Documents: map[ident.TeamName]*document.Document{testTeam: w.doc},
+func (f *testFleet) sendDocuments() {
+	f.machine.Step(f.now, Documents{
+		Documents: map[ident.TeamName]*document.Document{testTeam: f.doc},
 		Revision:  1,
 	})
 }
 
-func (w *world) tellList() {
-	w.machine.Step(w.now, Servers{
-		Servers: w.servers,
+func (f *testFleet) sendServerList() {
+	f.machine.Step(f.now, Servers{
+		Servers: f.servers,
 	})
 }
 
-func (w *world) tellReports() {
-	for _, server := range w.servers {
-		w.tellReport(server.Name)
+func (f *testFleet) sendReports() {
+	for _, server := range f.servers {
+		f.sendReport(server.Name)
 	}
 }
 
-// tellReport gives the machine a copy of an engine's report as it stands.
-func (w *world) tellReport(name ident.ServerName) {
-	report := *w.reports[name]
+// sendReport applies a copy of an engine's current report to the machine.
+func (f *testFleet) sendReport(name ident.ServerName) {
+	report := *f.reports[name]
 	report.Residents = append([]backend.Resident(nil), report.Residents...)
-	report.At = w.now
-	w.machine.Step(w.now, Reported{
+	report.At = f.now
+	f.machine.Step(f.now, Reported{
 		Report: report,
 	})
 }
 
-// target gives the first model's target in a table of now.
-func (w *world) target() *Target {
-	target, _ := w.machine.Table().Target(modelName(0))
+// firstTarget returns the first model's target in a current table.
+func (f *testFleet) firstTarget() *Target {
+	target, _ := f.machine.Table().Target(modelName(0))
 	return target
 }
 
-// names gives the servers of a target, in order.
-func (t *Target) names() []ident.ServerName {
+// serverNames returns the names of a target's servers, in order.
+func (t *Target) serverNames() []ident.ServerName {
 	var names []ident.ServerName
 	for i := range t.Replicas {
 		names = append(names, t.Replicas[i].Server)
--- a/internal/control/routing/history.go
+++ b/internal/control/routing/history.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// What a history remembers: historySlices slices of time. Together they must be
-// longer than reports lag.
+// A count history has historySliceCount slices of historySliceSpan each. Together
+// they must be longer than reports lag.
 const (
-	historySlice  = 20 * time.Millisecond
-	historySlices = 128
+	historySliceSpan  = 20 * time.Millisecond
+	historySliceCount = 128
 )
 
-// history remembers a count over the last seconds, so that a report that comes
-// late can be compared with the count of the instant when it was taken. A slice
-// holds the count before its first change and after its last one. Two changes in
-// the same moment may be noted in either order, which is one request wrong until
-// the next change. The zero value works.
-type history struct {
-	slices [historySlices]atomic.Uint64
+// countHistory stores a count over the last seconds, so that a late report can be
+// compared with the count at the instant when the report was made. Each slice holds
+// the count before its first change and the count after its last change. Two
+// changes at the same moment may be recorded in either order, which makes the
+// history wrong by one request until the next change. The zero value works.
+type countHistory struct {
+	slices [historySliceCount]atomic.Uint64
 }
 
 // Layout of a slice: the low half of its number, the count before, the count after.
@@ -30,17 +30,17 @@
 )
 
 func sliceNumber(at time.Time) uint64 {
-	return uint64(at.UnixNano()/int64(historySlice)) & numberMask
+	return uint64(at.UnixNano()/int64(historySliceSpan)) & numberMask
 }
 
 func clampCount(count int64) uint64 {
 	return uint64(min(max(count, 0), countMask))
 }
 
-// note records that the count has changed.
-func (h *history) note(now time.Time, before, after int64) {
+// record stores a change of the count.
+func (h *countHistory) record(now time.Time, before, after int64) {
 	number := sliceNumber(now)
-	cell := &h.slices[number%historySlices]
+	cell := &h.slices[number%historySliceCount]
 	for {
 		old := cell.Load()
 		first := clampCount(before)
@@ -53,19 +53,19 @@
 	}
 }
 
-// at gives the count as it was at an instant; current is what it is now.
-func (h *history) at(then, now time.Time, current int64) int64 {
+// countAt returns the count at an instant; current is the count now.
+func (h *countHistory) countAt(then, now time.Time, current int64) int64 {
 	if !then.Before(now) {
 		return current
 	}
 	newest := sliceNumber(now)
-	ago := min(int64(now.Sub(then)/historySlice), historySlices-1)
-	// The first change after the instant tells what the count was before it.
-	for back := ago; back >= 0; back-- {
+	slicesAgo := min(int64(now.Sub(then)/historySliceSpan), historySliceCount-1)
+	// The first change after the instant has the count from before that change.
+	for back := slicesAgo; back >= 0; back-- {
 		number := (newest - uint64(back)) & numberMask
-		slice := h.slices[number%historySlices].Load()
+		slice := h.slices[number%historySliceCount].Load()
 		if slice>>(2*countBits) == number {
-			if back == ago { // the instant's own slice: the nearer end
+			if back == slicesAgo { // the instant's own slice: the nearer end
 				return int64(slice & countMask)
 			}
 			return int64(slice >> countBits & countMask)
--- a/internal/control/routing/machine.go
+++ b/internal/control/routing/machine.go
@@ -9,82 +9,85 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Times of the way there and back, as the users' networks have them.
+// Assumed network round trips.
 const (
-	wayInDataCentre = 300 * time.Microsecond
-	wayInRegion     = 3 * time.Millisecond
-	wayToRegion     = 60 * time.Millisecond
+	roundTripInDataCentre  = 300 * time.Microsecond
+	roundTripInRegion      = 3 * time.Millisecond
+	roundTripToOtherRegion = 60 * time.Millisecond
 )
 
-// slowStart is how long a new replica gets less than its part: its caches are
-// cold, and until its first reports its queue looks empty to every host at once.
-const slowStart = 3 * time.Second
+// slowStartDuration is how long a new replica gets less than its share of requests:
+// its caches are cold, and until its first reports all hosts at once estimate its
+// queue as empty.
+const slowStartDuration = 3 * time.Second
 
-// reportTrust is how long a report stands for the load of its server.
-const reportTrust = 20 * time.Second
+// reportValidity is how long a report is used to estimate the load of its server.
+const reportValidity = 20 * time.Second
 
-// Place is where this host is.
+// Place is where this host runs.
 type Place struct {
 	DataCentre ident.DataCentre
 	Region     ident.Region
 }
 
-// Machine keeps what the tables are made from. It belongs to the control
+// Machine keeps the state that the tables are built from. It belongs to the control
 // goroutine.
 type Machine struct {
-	Place    Place
-	revision ident.Revision
-	declared map[subject]declaration
-	servers  map[ident.ServerName]*serverState
-	// holders has the servers that hold a subject, sorted, whether or not they
-	// take work.
-	holders map[subject][]ident.ServerName
-	// stale are the subjects whose targets have to be made anew.
-	stale map[subject]struct{}
-	// hosts counts the live entry hosts of this region.
-	hosts int
-	// table is the newest table; nil where all of it has to be made anew.
+	Place        Place
+	revision     ident.Revision
+	declarations map[targetKey]declaration
+	servers      map[ident.ServerName]*serverState
+	// serversByTarget has the servers where a target is ready, sorted by name,
+	// whether or not they are available.
+	serversByTarget map[targetKey][]ident.ServerName
+	// staleTargets are the targets to rebuild in the next table.
+	staleTargets map[targetKey]struct{}
+	// hostsInRegion is the number of live entry hosts in this host's region.
+	hostsInRegion int
+	// table is the newest table; nil if all of it has to be rebuilt.
 	table *Table
 }
 
-// Event is something that the machine hears.
+// Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// Documents gives the documents in force.
+// Documents has the documents in force.
 type Documents struct {
 	Documents map[ident.TeamName]*document.Document
 	Revision  ident.Revision
 }
 
-// Servers gives the platform's list.
+// Servers has the platform's server list.
 type Servers struct {
 	Servers []backend.Server
 }
 
-// Reported gives a server's own word.
+// Reported has a load report that a backend server has made.
 type Reported struct {
 	Report backend.Report
 }
 
-// PeerLoads gives what another entry host has under way at each server.
+// PeerLoads has the requests that another entry host has in flight at each server.
 type PeerLoads struct {
 	Host  ident.HostID
 	Loads map[ident.ServerName]int64
 }
 
-// PeerGone tells that another entry host has left, and its loads with it.
+// PeerGone says that another entry host has left, so that its requests count no
+// more.
 type PeerGone struct {
 	Host ident.HostID
 }
 
-// ServerLeaving tells that somebody other than the list knows a server to leave.
+// ServerLeaving says that one incarnation of a server is known to be leaving from
+// another source than the server list.
 type ServerLeaving struct {
 	Server      ident.ServerName
 	Incarnation ident.Incarnation
 }
 
-// Hosts gives the number of live entry hosts in this host's region, this one
-// among them.
+// Hosts has the number of live entry hosts in this host's region, including this
+// one.
 type Hosts struct {
 	InRegion int
 }
@@ -97,40 +100,42 @@
 func (PeerGone) isEvent()      {}
 func (ServerLeaving) isEvent() {}
 
-// Step takes one event. The tables change with the next call of Table.
+// Step applies one event. The next call of Table returns the resulting table.
 func (m *Machine) Step(now time.Time, event Event) {
 	switch e := event.(type) {
 	case Documents:
-		m.declare(e)
+		m.applyDocuments(e)
 	case Servers:
-		m.list(e.Servers)
+		m.applyServerList(e.Servers)
 	case Reported:
-		m.report(now, e.Report)
+		m.applyReport(now, e.Report)
 	case PeerLoads:
-		m.peerLoads(e)
+		m.applyPeerLoads(e)
 	case PeerGone:
-		m.peerLoads(PeerLoads{
+		m.applyPeerLoads(PeerLoads{
 			Host: e.Host,
 		})
 	case Hosts:
-		m.hosts = e.InRegion
+		m.hostsInRegion = e.InRegion
 	case ServerLeaving:
-		m.leave(e)
+		m.markLeaving(e)
 	}
 }
 
-// Loads gives what this host has under way at each server, for its peers.
+// Loads returns the requests that this host has in flight at each server, for its
+// peers.
 func (m *Machine) Loads() map[ident.ServerName]int64 {
-	loads := make(map[ident.ServerName]int64)
+	requests := make(map[ident.ServerName]int64)
 	for name, server := range m.servers {
-		if n := server.gauge.UnderWay(); n > 0 {
-			loads[name] = n
+		if n := server.loadTracker.InFlight(); n > 0 {
+			requests[name] = n
 		}
 	}
-	return loads
+	return requests
 }
 
-// Leaving gives the servers that say themselves, or were said, to leave.
+// Leaving returns the servers that have reported that they are leaving, or for
+// which a ServerLeaving event came.
 func (m *Machine) Leaving() []ServerLeaving {
 	var leaving []ServerLeaving
 	for name, server := range m.servers {
--- a/internal/control/routing/server.go
+++ b/internal/control/routing/server.go
@@ -8,35 +8,35 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// serverState is what the machine knows of one backend server.
+// serverState is the machine's state of one backend server.
 type serverState struct {
-	listed  backend.Server
-	report  backend.Report
-	hasWord bool
-	// ready has the weights that can be asked for, by what they are for.
-	ready   map[subject][]readyVersion
-	gauge   *Gauge
-	peers   map[ident.HostID]int64
-	leaving bool
+	listed    backend.Server
+	report    backend.Report
+	hasReport bool
+	// ready has the versions that can answer now, by target.
+	ready         map[targetKey][]readyVersion
+	loadTracker   *LoadTracker
+	peersInFlight map[ident.HostID]int64
+	leaving       bool
 }
 
-// readyVersion is one version of some weights, ready since an instant.
+// readyVersion is one version of some weights, and since when it is ready.
 type readyVersion struct {
 	version ident.Version
 	since   time.Time
 }
 
-// takesWork tells whether a server may get new work at all.
-func (s *serverState) takesWork() bool {
+// isAvailable reports whether a server may get new requests.
+func (s *serverState) isAvailable() bool {
 	return s.listed.State == backend.StateLive && !s.leaving && !s.report.Leaving
 }
 
-// list takes in the platform's list.
-func (m *Machine) list(listed []backend.Server) {
+// applyServerList replaces the platform's server list.
+func (m *Machine) applyServerList(listed []backend.Server) {
 	if m.servers == nil {
 		m.servers = make(map[ident.ServerName]*serverState)
-		m.holders = make(map[subject][]ident.ServerName)
-		m.stale = make(map[subject]struct{})
+		m.serversByTarget = make(map[targetKey][]ident.ServerName)
+		m.staleTargets = make(map[targetKey]struct{})
 	}
 	seen := make(map[ident.ServerName]bool, len(listed))
 	for _, server := range listed {
@@ -44,116 +44,119 @@
 			continue
 		}
 		seen[server.Name] = true
-		m.admit(server)
+		m.addOrUpdateServer(server)
 	}
 	for name, server := range m.servers {
 		if !seen[name] {
-			m.remove(server)
+			m.removeServer(server)
 		}
 	}
 }
 
-func (m *Machine) admit(listed backend.Server) {
+func (m *Machine) addOrUpdateServer(listed backend.Server) {
 	state, known := m.servers[listed.Name]
 	if known && state.listed == listed {
 		return
 	}
 	if known && (state.listed.Address != listed.Address || state.listed.Service != listed.Service) {
-		m.remove(state)
+		m.removeServer(state)
 		known = false
 	}
 	if !known {
 		state = &serverState{
-			gauge: &Gauge{},
-			ready: make(map[subject][]readyVersion),
-			peers: make(map[ident.HostID]int64),
+			loadTracker:   &LoadTracker{},
+			ready:         make(map[targetKey][]readyVersion),
+			peersInFlight: make(map[ident.HostID]int64),
 		}
 		m.servers[listed.Name] = state
 	}
 	state.listed = listed
 	if listed.Kind == backend.KindService {
-		m.hold(state, subject{service: listed.Service}, readyVersion{})
+		m.setReady(state, targetKey{service: listed.Service}, readyVersion{})
 	}
-	m.touch(state)
+	m.markTargetsStale(state)
 }
 
-// remove forgets a server that has gone from the list, or has become another.
-func (m *Machine) remove(state *serverState) {
-	for about := range state.ready {
-		m.drop(state, about)
+// removeServer deletes a server that is no longer on the list, or whose name now
+// belongs to another address or service.
+func (m *Machine) removeServer(state *serverState) {
+	for key := range state.ready {
+		m.removeReady(state, key)
 	}
 	delete(m.servers, state.listed.Name)
 }
 
-// touch marks the targets of a server as stale.
-func (m *Machine) touch(state *serverState) {
-	for about := range state.ready {
-		m.stale[about] = struct{}{}
+// markTargetsStale marks all targets of a server for a rebuild.
+func (m *Machine) markTargetsStale(state *serverState) {
+	for key := range state.ready {
+		m.staleTargets[key] = struct{}{}
 	}
 }
 
-func (m *Machine) hold(state *serverState, about subject, versions ...readyVersion) {
-	state.ready[about] = versions
-	m.stale[about] = struct{}{}
-	names := m.holders[about]
+func (m *Machine) setReady(state *serverState, key targetKey, versions ...readyVersion) {
+	state.ready[key] = versions
+	m.staleTargets[key] = struct{}{}
+	names := m.serversByTarget[key]
 	if at, found := slices.BinarySearch(names, state.listed.Name); !found {
-		m.holders[about] = slices.Insert(names, at, state.listed.Name)
+		m.serversByTarget[key] = slices.Insert(names, at, state.listed.Name)
 	}
 }
 
-func (m *Machine) drop(state *serverState, about subject) {
-	delete(state.ready, about)
-	m.stale[about] = struct{}{}
-	names := m.holders[about]
+func (m *Machine) removeReady(state *serverState, key targetKey) {
+	delete(state.ready, key)
+	m.staleTargets[key] = struct{}{}
+	names := m.serversByTarget[key]
 	at, found := slices.BinarySearch(names, state.listed.Name)
 	if !found {
 		return
 	}
-	if m.holders[about] = slices.Delete(names, at, at+1); len(m.holders[about]) == 0 {
-		delete(m.holders, about)
+	if m.serversByTarget[key] = slices.Delete(names, at, at+1); len(m.serversByTarget[key]) == 0 {
+		delete(m.serversByTarget, key)
 	}
 }
 
-func (m *Machine) report(now time.Time, report backend.Report) {
+func (m *Machine) applyReport(now time.Time, report backend.Report) {
 	state, known := m.servers[report.Server]
 	if !known {
 		return
 	}
-	// A report that was taken before the one at hand comes late: it would bring
-	// back residents that are gone since, or an earlier life of the server.
-	if state.hasWord && report.At.Before(state.report.At) {
+	// A report made before the current one arrived late: it would bring back
+	// residents that have been unloaded since, or an earlier incarnation of the
+	// server.
+	if state.hasReport && report.At.Before(state.report.At) {
 		return
 	}
-	reborn := state.report.Incarnation != report.Incarnation
-	if reborn {
+	restarted := state.report.Incarnation != report.Incarnation
+	if restarted {
 		state.leaving = false
 	}
-	if reborn || state.report.Leaving != report.Leaving {
-		m.touch(state)
+	if restarted || state.report.Leaving != report.Leaving {
+		m.markTargetsStale(state)
 	}
 	state.report = report
-	state.hasWord = true
-	state.gauge.trustUntil.Store(now.Add(reportTrust).UnixNano())
-	state.gauge.slots.Store(int64(report.Slots))
-	// The report is of an earlier instant: what this host had there at that
-	// instant is in it, and what it has there now is counted apart.
-	own := state.gauge.UnderWayAt(report.At, now)
+	state.hasReport = true
+	state.loadTracker.reportValidUntil.Store(now.Add(reportValidity).UnixNano())
+	state.loadTracker.slots.Store(int64(report.Slots))
+	// The report is of an earlier instant: what this host had in flight there at
+	// that instant is included in it, and what it has there now is counted
+	// separately.
+	ownInFlight := state.loadTracker.InFlightAt(report.At, now)
 	queue := int64(report.Running + report.Waiting)
-	state.gauge.reported(report.At, queue, max(queue-own, 0))
+	state.loadTracker.applyReport(report.At, queue, max(queue-ownInFlight, 0))
 	if state.listed.Kind == backend.KindEngine {
-		m.residents(now, state, reborn)
+		m.applyResidents(now, state, restarted)
 	}
 }
 
-// residents takes in what a report says of the weights in memory.
-func (m *Machine) residents(now time.Time, state *serverState, reborn bool) {
-	ready := make(map[subject][]readyVersion, len(state.ready))
+// applyResidents replaces the weights that a report says are ready in memory.
+func (m *Machine) applyResidents(now time.Time, state *serverState, restarted bool) {
+	ready := make(map[targetKey][]readyVersion, len(state.ready))
 	for i := range state.report.Residents {
 		resident := &state.report.Residents[i]
 		if !resident.Ready {
 			continue
 		}
-		about := subject{
+		key := targetKey{
 			model:   resident.Model,
 			adapter: resident.Adapter,
 		}
@@ -161,25 +164,25 @@
 			version: resident.Version,
 			since:   now,
 		}
-		if since, was := state.readySince(about, resident.Version); was && !reborn {
+		if since, wasReady := state.readySince(key, resident.Version); wasReady && !restarted {
 			version.since = since
 		}
-		ready[about] = append(ready[about], version)
+		ready[key] = append(ready[key], version)
 	}
-	for about := range state.ready {
-		if _, still := ready[about]; !still {
-			m.drop(state, about)
+	for key := range state.ready {
+		if _, stillReady := ready[key]; !stillReady {
+			m.removeReady(state, key)
 		}
 	}
-	for about, versions := range ready {
-		if !slices.Equal(state.ready[about], versions) {
-			m.hold(state, about, versions...)
+	for key, versions := range ready {
+		if !slices.Equal(state.ready[key], versions) {
+			m.setReady(state, key, versions...)
 		}
 	}
 }
 
-func (s *serverState) readySince(about subject, version ident.Version) (time.Time, bool) {
-	for _, ready := range s.ready[about] {
+func (s *serverState) readySince(key targetKey, version ident.Version) (time.Time, bool) {
+	for _, ready := range s.ready[key] {
 		if ready.version == version {
 			return ready.since, true
 		}
@@ -187,28 +190,28 @@
 	return time.Time{}, false
 }
 
-func (m *Machine) peerLoads(e PeerLoads) {
+func (m *Machine) applyPeerLoads(e PeerLoads) {
 	for name, server := range m.servers {
-		load := e.Loads[name]
-		if load == server.peers[e.Host] {
+		requests := e.Loads[name]
+		if requests == server.peersInFlight[e.Host] {
 			continue
 		}
-		server.peers[e.Host] = load
-		if load == 0 {
-			delete(server.peers, e.Host)
+		server.peersInFlight[e.Host] = requests
+		if requests == 0 {
+			delete(server.peersInFlight, e.Host)
 		}
 		var total int64
-		for _, n := range server.peers {
+		for _, n := range server.peersInFlight {
 			total += n
 		}
-		server.gauge.peers.Store(total)
+		server.loadTracker.peersInFlight.Store(total)
 	}
 }
 
-func (m *Machine) leave(e ServerLeaving) {
+func (m *Machine) markLeaving(e ServerLeaving) {
 	state, known := m.servers[e.Server]
 	if known && !state.leaving && (e.Incarnation == "" || e.Incarnation == state.report.Incarnation) {
 		state.leaving = true
-		m.touch(state)
+		m.markTargetsStale(state)
 	}
 }
--- a/internal/control/routing/sim_test.go
+++ b/internal/control/routing/sim_test.go
@@ -10,63 +10,63 @@
 	"cicadaloom/internal/domain/splitmix"
 )
 
-// The engine stand-in's formula, in a simulation of one model: no sockets, a
-// clock of its own, one seed.
+// A simulation of one model with the formula of the engine stand-in: no sockets, a
+// simulated clock, one random seed.
 const (
-	simStep       = time.Millisecond
-	simFirstToken = 40 * time.Millisecond
-	simPerToken   = 5 * time.Millisecond
-	simTokens     = 16
-	simCacheSaves = 0.8
-	simSlots      = 8
-	simBurstEvery = 730 * time.Millisecond // no multiple of what hosts do at times
+	simStep              = time.Millisecond
+	simFirstToken        = 40 * time.Millisecond
+	simTimePerToken      = 5 * time.Millisecond
+	simTokens            = 16
+	simPrefixCacheSaving = 0.8
+	simSlots             = 8
+	simBurstPeriod       = 730 * time.Millisecond // not a multiple of the hosts' intervals
 )
 
-// simOptions are one run's circumstances.
+// simOptions are the parameters of one run.
 type simOptions struct {
-	hosts         int
-	servers       int
-	lag           time.Duration
-	pollEvery     time.Duration
-	exchangeEvery time.Duration
-	rate          float64 // requests a second
-	burst         float64 // the rate's factor in every second simBurstEvery
-	prefixes      int     // different conversations' beginnings; 0 for none alike
-	noHome        bool    // the choice is not told the prefix
-	confined      bool    // all contents are new
-	cacheSize     int
-	policy        Policy
-	slow          int  // servers at half the pace
-	mixed         bool // answers of all lengths
-	length        time.Duration
+	hosts            int
+	servers          int
+	reportLag        time.Duration
+	pollInterval     time.Duration
+	exchangeInterval time.Duration
+	rate             float64 // requests a second
+	burstFactor      float64 // multiplies the rate in every second simBurstPeriod
+	prefixCount      int     // number of different prefixes; 0: each request has its own
+	ignorePrefix     bool    // choose by a random prefix instead of the request's
+	pairOnly         bool    // restrict each choice to the two preferred replicas
+	cacheSize        int
+	policy           Policy
+	slowServers      int  // number of servers at half speed
+	mixedLengths     bool // random answer lengths, with the same mean
+	duration         time.Duration
 }
 
 func simDefaults() simOptions {
 	return simOptions{
-		hosts:         7,
-		servers:       12,
-		lag:           300 * time.Millisecond,
-		pollEvery:     500 * time.Millisecond,
-		exchangeEvery: time.Second,
-		rate:          300,
-		burst:         1,
-		cacheSize:     64,
-		policy:        LeastCost{},
-		length:        20 * time.Second,
+		hosts:            7,
+		servers:          12,
+		reportLag:        300 * time.Millisecond,
+		pollInterval:     500 * time.Millisecond,
+		exchangeInterval: time.Second,
+		rate:             300,
+		burstFactor:      1,
+		cacheSize:        64,
+		policy:           LeastCost{},
+		duration:         20 * time.Second,
 	}
 }
 
-// simResult is what a run measures.
+// simResult has the figures of one run.
 type simResult struct {
 	p50, p95, p99 time.Duration // time to the first token
-	queueError    float64       // mean of |believed - true queue| at the choice
-	hits          float64       // share of requests that found their prefix
-	busiest       float64       // the busiest server's requests over the mean
+	queueError    float64       // mean of |estimated - true queue| at the choice
+	hitRate       float64       // share of requests that found their prefix cached
+	busiestRatio  float64       // requests to the busiest server over the mean
 }
 
 func (r simResult) String() string {
 	return fmt.Sprintf("p50 %v p95 %v p99 %v queue error %.2f hits %.2f busiest %.2f",
-		r.p50, r.p95, r.p99, r.queueError, r.hits, r.busiest)
+		r.p50, r.p95, r.p99, r.queueError, r.hitRate, r.busiestRatio)
 }
 
 type simRequest struct {
@@ -82,7 +82,7 @@
 	name    ident.ServerName
 	running []*simRequest
 	waiting []*simRequest
-	depths  []int // running and waiting, one a step
+	depths  []int // requests running and waiting, by step
 	cache   []uint64
 	served  int
 	slow    bool
@@ -90,35 +90,35 @@
 
 type sim struct {
 	simOptions
-	worlds   []*world
-	targets  []*Target
-	servers  []*simServer
-	dice     *rand.Rand
-	start    time.Time
-	now      time.Time
-	firsts   []time.Duration
-	errors   float64
-	choices  int
-	hitCount int
+	fleets        []*testFleet
+	targets       []*Target
+	servers       []*simServer
+	rng           *rand.Rand
+	start         time.Time
+	now           time.Time
+	ttfts         []time.Duration
+	queueErrorSum float64
+	choices       int
+	hitCount      int
 }
 
 func simulate(options simOptions) simResult {
 	s := &sim{
 		simOptions: options,
-		dice:       rand.New(rand.NewPCG(1, 2)),
+		rng:        rand.New(rand.NewPCG(1, 2)),
 	}
 	for range options.hosts {
-		s.worlds = append(s.worlds, newWorld(options.servers, 1, options.servers, 0))
+		s.fleets = append(s.fleets, newTestFleet(options.servers, 1, options.servers, 0))
 	}
-	s.start = s.worlds[0].now
+	s.start = s.fleets[0].now
 	for i := range options.servers {
 		s.servers = append(s.servers, &simServer{
 			name: engineName(i),
-			slow: i < options.slow,
+			slow: i < options.slowServers,
 		})
 	}
 	s.targets = make([]*Target, options.hosts)
-	for s.now = s.start; s.now.Before(s.start.Add(options.length)); s.now = s.now.Add(simStep) {
+	for s.now = s.start; s.now.Before(s.start.Add(options.duration)); s.now = s.now.Add(simStep) {
 		s.step()
 	}
 	return s.result()
@@ -126,23 +126,23 @@
 
 func (s *sim) step() {
 	for _, server := range s.servers {
-		s.serve(server)
+		s.advanceServer(server)
 	}
-	for h := range s.worlds {
-		s.hear(h)
+	for h := range s.fleets {
+		s.deliverUpdates(h)
 	}
 	rate := s.rate
-	if s.now.Sub(s.start)/simBurstEvery%2 == 1 {
-		rate *= s.burst
+	if s.now.Sub(s.start)/simBurstPeriod%2 == 1 {
+		rate *= s.burstFactor
 	}
-	for s.dice.Float64() < rate*simStep.Seconds() {
-		s.arrive(s.dice.IntN(s.hosts))
+	for s.rng.Float64() < rate*simStep.Seconds() {
+		s.addRequest(s.rng.IntN(s.hosts))
 		rate -= 1 / simStep.Seconds()
 	}
 }
 
-// serve ends and begins what is due at a server.
-func (s *sim) serve(server *simServer) {
+// advanceServer ends and starts the requests that are due at a server.
+func (s *sim) advanceServer(server *simServer) {
 	server.running = slices.DeleteFunc(server.running, func(r *simRequest) bool {
 		if r.end.After(s.now) {
 			return false
@@ -155,31 +155,31 @@
 		return true
 	})
 	for len(server.running) < simSlots && len(server.waiting) > 0 {
-		s.begin(server, server.waiting[0])
+		s.startRequest(server, server.waiting[0])
 		server.waiting = server.waiting[1:]
 	}
 	server.depths = append(server.depths, len(server.running)+len(server.waiting))
 }
 
-func (s *sim) begin(server *simServer, r *simRequest) {
+func (s *sim) startRequest(server *simServer, r *simRequest) {
 	server.running = append(server.running, r)
 	first := simFirstToken
 	if server.lookUp(r.prefix, s.cacheSize) {
-		first = time.Duration(float64(first) * (1 - simCacheSaves))
+		first = time.Duration(float64(first) * (1 - simPrefixCacheSaving))
 		s.hitCount++
 	}
 	share := float64(len(server.running)) / simSlots
-	pace := 1.0
+	slowdown := 1.0
 	if server.slow {
-		pace = 2
+		slowdown = 2
 	}
 	tokens := float64(simTokens)
-	if s.mixed {
-		tokens *= s.dice.ExpFloat64()
+	if s.mixedLengths {
+		tokens *= s.rng.ExpFloat64()
 	}
-	r.first = s.now.Add(time.Duration(pace * float64(first)))
-	r.end = r.first.Add(time.Duration(pace * tokens * float64(simPerToken) * (1 + share)))
-	s.firsts = append(s.firsts, r.first.Sub(r.arrived))
+	r.first = s.now.Add(time.Duration(slowdown * float64(first)))
+	r.end = r.first.Add(time.Duration(slowdown * tokens * float64(simTimePerToken) * (1 + share)))
+	s.ttfts = append(s.ttfts, r.first.Sub(r.arrived))
 }
 
 func (v *simServer) lookUp(prefix uint64, size int) bool {
@@ -195,65 +195,65 @@
 	return false
 }
 
-// due tells whether host h does at this step what it does every so often; hosts
-// have different phases.
-func (s *sim) due(h int, every time.Duration) bool {
-	phase := every / time.Duration(s.hosts) * time.Duration(h)
-	return (s.now.Sub(s.start)+phase)%every < simStep
+// isDue reports whether host h does a periodic task in this step; hosts have
+// different phases.
+func (s *sim) isDue(h int, period time.Duration) bool {
+	phase := period / time.Duration(s.hosts) * time.Duration(h)
+	return (s.now.Sub(s.start)+phase)%period < simStep
 }
 
-// hear gives a host the reports and the peers' words that come now.
-func (s *sim) hear(h int) {
-	w := s.worlds[h]
-	w.now = s.now
-	if s.due(h, s.pollEvery) || s.targets[h] == nil {
+// deliverUpdates applies to a host the reports and peer messages that arrive now.
+func (s *sim) deliverUpdates(h int) {
+	f := s.fleets[h]
+	f.now = s.now
+	if s.isDue(h, s.pollInterval) || s.targets[h] == nil {
 		for _, server := range s.servers {
-			s.report(w, server)
+			s.deliverReport(f, server)
 		}
 	}
-	if s.due(h, s.exchangeEvery) {
-		for p := range s.worlds {
+	if s.isDue(h, s.exchangeInterval) {
+		for p := range s.fleets {
 			if p != h {
-				w.machine.Step(s.now, PeerLoads{
+				f.machine.Step(s.now, PeerLoads{
 					Host:  ident.HostID(fmt.Sprint(p)),
-					Loads: s.worlds[p].machine.Loads(),
+					Loads: s.fleets[p].machine.Loads(),
 				})
 			}
 		}
 	}
-	s.targets[h] = w.target()
+	s.targets[h] = f.firstTarget()
 }
 
-func (s *sim) report(w *world, server *simServer) {
-	at := max(0, len(server.depths)-1-int(s.lag/simStep))
-	report := *w.reports[server.name]
+func (s *sim) deliverReport(f *testFleet, server *simServer) {
+	at := max(0, len(server.depths)-1-int(s.reportLag/simStep))
+	report := *f.reports[server.name]
 	report.Running = server.depths[at]
 	report.At = s.start.Add(time.Duration(at) * simStep)
-	w.machine.Step(s.now, Reported{
+	f.machine.Step(s.now, Reported{
 		Report: report,
 	})
 }
 
-func (s *sim) arrive(h int) {
+func (s *sim) addRequest(h int) {
 	r := &simRequest{
 		arrived: s.now,
-		prefix:  s.dice.Uint64(),
+		prefix:  s.rng.Uint64(),
 	}
-	if s.prefixes > 0 {
-		// A few beginnings are common and most are rare.
-		r.prefix = splitmix.Mix(uint64(float64(s.prefixes) * s.dice.Float64() * s.dice.Float64()))
+	if s.prefixCount > 0 {
+		// A few prefixes are common and most are rare.
+		r.prefix = splitmix.Mix(uint64(float64(s.prefixCount) * s.rng.Float64() * s.rng.Float64()))
 	}
-	told := r.prefix
-	if s.noHome {
-		told = s.dice.Uint64()
+	prefixHash := r.prefix
+	if s.ignorePrefix {
+		prefixHash = s.rng.Uint64()
 	}
 	choice, err := s.policy.Choose(s.targets[h], &Request{
 		Now:    s.now,
-		Dice:   s.dice.Uint64(),
-		Prefix: told,
+		Dice:   s.rng.Uint64(),
+		Prefix: prefixHash,
 
-		Fingerprint: s.dice.Uint64(),
-		Confined:    s.confined,
+		Fingerprint: s.rng.Uint64(),
+		Confined:    s.pairOnly,
 	})
 	if err != nil {
 		panic(err)
@@ -261,8 +261,8 @@
 	r.replica = choice.Replica
 	server := s.servers[slices.IndexFunc(s.servers, func(v *simServer) bool { return v.name == choice.Replica.Server })]
 	depth := float64(len(server.running) + len(server.waiting))
-	believed := r.replica.Gauge.Queue(s.now)
-	s.errors += max(believed-depth, depth-believed)
+	estimated := r.replica.Gauge.EstimateQueue(s.now)
+	s.queueErrorSum += max(estimated-depth, depth-estimated)
 	s.choices++
 	r.queued = r.replica.Gauge.Begin(s.now)
 	server.waiting = append(server.waiting, r)
@@ -270,18 +270,18 @@
 }
 
 func (s *sim) result() simResult {
-	slices.Sort(s.firsts)
-	at := func(share float64) time.Duration { return s.firsts[int(share*float64(len(s.firsts)-1))] }
+	slices.Sort(s.ttfts)
+	percentile := func(share float64) time.Duration { return s.ttfts[int(share*float64(len(s.ttfts)-1))] }
 	busiest := 0
 	for _, server := range s.servers {
 		busiest = max(busiest, server.served)
 	}
 	return simResult{
-		p50:        at(0.5),
-		p95:        at(0.95),
-		p99:        at(0.99),
-		queueError: s.errors / float64(s.choices),
-		hits:       float64(s.hitCount) / float64(len(s.firsts)),
-		busiest:    float64(busiest*len(s.servers)) / float64(s.choices),
+		p50:          percentile(0.5),
+		p95:          percentile(0.95),
+		p99:          percentile(0.99),
+		queueError:   s.queueErrorSum / float64(s.choices),
+		hitRate:      float64(s.hitCount) / float64(len(s.ttfts)),
+		busiestRatio: float64(busiest*len(s.servers)) / float64(s.choices),
 	}
 }
--- a/internal/control/routing/table.go
+++ b/internal/control/routing/table.go
@@ -1,16 +1,17 @@
 // Package routing decides which backend server a request goes to.
 //
-// A Machine, owned by the control goroutine, turns what the host hears
-// (accepted documents, the platform's list, load reports, peers' word) into
+// A Machine, owned by the control goroutine, turns what the host receives (accepted
+// documents, the platform's server list, load reports, messages from peers) into
 // immutable Tables. Traffic goroutines read the newest Table and choose from it
-// on their own, with no lock and no allocation. Tables say who can answer what;
-// they change seldom. Loads change with each report and each request: they stand
-// in a Gauge per server that outlives the tables.
+// concurrently, with no lock and no allocation. A Table says which servers can
+// answer which requests and changes seldom. Server load changes with each report
+// and each request, so it is kept in a LoadTracker per server that is shared by
+// successive tables.
 //
 // # Usage
 //
 //	target, found := table.Target("briefing")
-//	choice, err := policy.Choose(target, routing.Request{
+//	choice, err := policy.Choose(target, &routing.Request{
 //		Now:    now,
 //		Dice:   rand.Uint64(),
 //		Prefix: hash,
@@ -19,17 +20,20 @@
 //	...
 //	choice.Replica.Gauge.Answered(now, routing.Timing{...})
 //
-// # What a choice weighs
+// # Cost of a replica
 //
-// The cost of a replica is the expected time to the first token: the queue
-// before it, the work of the prompt less what its cache saves, the way there
-// and back, and a surcharge for replicas that have just come or just failed.
-// Load reports lag, so the queue is what others had there in the last report,
-// fading into what is usual there, at least what peers say they have there, and
-// what this host has there now.
-// All hosts see the same lagging reports: were each to take the cheapest
-// replica, all would pick the same one. So a choice looks at a few candidates
-// only, drawn at random, and takes the cheapest of these.
+// The cost of a replica is the expected time to the first token: the wait in its
+// queue, the prefill time less what its prefix cache saves, the network round trip,
+// and a penalty for replicas that are new or have no recent report. Servers that
+// keep failing are not candidates for a while (see LoadTracker).
+//
+// Load reports lag, so the queue is estimated: the requests of other hosts in the
+// last report, decaying towards the average number there, but at least the number
+// that peers report, plus this host's own requests in flight.
+//
+// All hosts see the same lagging reports: if each took the cheapest replica, all
+// would pick the same one. So a choice looks at only a few candidates, drawn at
+// random, and takes the cheapest of these.
 package routing
 
 import (
@@ -42,33 +46,35 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Table is what one host knows at one instant. It never changes after it has
-// been published, but for the Gauges it points to.
+// Table is one host's view of the backend servers at one instant. It does not
+// change after it has been published, except for the LoadTrackers that it points
+// to.
 type Table struct {
-	// Documents is the revision of the documents that the table was made from.
-	Documents ident.Revision
-	models    map[ident.ModelName]*Target
-	services  map[ident.ServiceName]*Target
-	names     []ident.ModelName
-	hosts     int
+	// DocumentsRevision is the revision of the documents that the table was built
+	// from.
+	DocumentsRevision ident.Revision
+	models            map[ident.ModelName]*Target
+	services          map[ident.ServiceName]*Target
+	names             []ident.ModelName
+	hostsInRegion     int
 }
 
-// Target is something that callers ask for by name: a model, an adapter or a
-// plain service.
+// Target is something that callers request by name: a model, an adapter or a plain
+// service.
 type Target struct {
 	Team    ident.TeamName
 	Model   ident.ModelName
 	Adapter ident.AdapterName
 	Version ident.Version
 	Service *document.Service
-	// MayRepeat is the document's word on a model or adapter; for a service it
+	// MayRepeat is what the document states for a model or adapter; for a service it
 	// depends on the method.
 	MayRepeat bool
 	Promise   document.Promise
 	Document  *document.Document
 	Replicas  []Replica
-	// nearby counts the replicas in this host's region: they come first.
-	nearby int
+	// localCount is the number of replicas in this host's region: they come first.
+	localCount int
 }
 
 // Replica is one backend server that can answer for a target.
@@ -80,52 +86,52 @@
 	Kind        backend.Kind
 	DataCentre  ident.DataCentre
 	Region      ident.Region
-	Gauge       *Gauge
-	// Team is the target's team's part of the server.
+	Gauge       *LoadTracker
+	// Team is the share that the target's team has of the server.
 	Team *admission.Team
-	// seed is a hash of the server's name.
-	seed uint64
-	// absentUntil is Unix nanoseconds: until then the server is known not to have
-	// what the target needs, whatever its last report says.
-	absentUntil *atomic.Int64
-	// warmFrom is when a new replica takes its full part of the load.
-	warmFrom time.Time
-	far      bool
-	// wayBack is the time there and back.
-	wayBack time.Duration
+	// nameHash is a hash of the server's name.
+	nameHash uint64
+	// missingUntil is in Unix nanoseconds: until then the server is known not to
+	// have what the target needs, whatever its last report says.
+	missingUntil *atomic.Int64
+	// slowStartUntil is when a new replica starts to get its full share of requests.
+	slowStartUntil time.Time
+	inOtherRegion  bool
+	// roundTrip is the network round trip to the server.
+	roundTrip time.Duration
 }
 
-// absentFor is longer than it takes to hear the report that says so.
-const absentFor = 2 * time.Second
+// missingDuration is longer than it takes to receive the report that says so.
+const missingDuration = 2 * time.Second
 
-// Absent records that the server has said it does not have what the target needs:
-// it has restarted, or was told to unload it, and its report lags. Without this a
-// server that lost its models draws the requests of all of them, as it refuses
-// at once and so looks idle.
+// Absent records that the server has answered that it does not have what the target
+// needs: it has restarted, or was ordered to unload it, and its report lags.
+// Without this a server that lost its models attracts the requests for all of them,
+// because it refuses at once and so looks idle.
 func (r *Replica) Absent(now time.Time) {
-	r.absentUntil.Store(now.Add(absentFor).UnixNano())
+	r.missingUntil.Store(now.Add(missingDuration).UnixNano())
 }
 
-// HostsInRegion gives the number of live entry hosts in this host's region, at
-// least this one.
+// HostsInRegion returns the number of live entry hosts in this host's region,
+// including this one.
 func (t *Table) HostsInRegion() int {
 	if t == nil {
 		return 1
 	}
-	return max(1, t.hosts)
+	return max(1, t.hostsInRegion)
 }
 
-// Far tells that the way to the replica goes over the link between regions.
+// Far reports whether the replica is in another region than this host.
 func (r *Replica) Far() bool {
-	return r.far
+	return r.inOtherRegion
 }
 
-// HasFar tells whether the target has replicas in another region.
+// HasFar reports whether the target has replicas in another region.
 func (t *Target) HasFar() bool {
-	return t.nearby < len(t.Replicas)
+	return t.localCount < len(t.Replicas)
 }
 
-// Target finds a model or adapter by the name that callers use.
+// Target returns the model or adapter of a name that callers use.
 func (t *Table) Target(name ident.ModelName) (*Target, bool) {
 	if t == nil {
 		return nil, false
@@ -134,7 +140,7 @@
 	return target, found
 }
 
-// Service finds a plain service.
+// Service returns the plain service of a name.
 func (t *Table) Service(name ident.ServiceName) (*Target, bool) {
 	if t == nil {
 		return nil, false
@@ -143,7 +149,7 @@
 	return target, found
 }
 
-// Names gives all models and adapters, sorted.
+// Names returns the names of all models and adapters, sorted.
 func (t *Table) Names() []ident.ModelName {
 	if t == nil {
 		return nil
@@ -151,7 +157,7 @@
 	return t.names
 }
 
-// Label gives the name under which a target is counted and logged.
+// Label returns the name under which a target is counted and logged.
 func (t *Target) Label() string {
 	switch {
 	case t.Service != nil:
--- a/internal/control/routing/table_test.go
+++ b/internal/control/routing/table_test.go
@@ -12,78 +12,78 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// A model is sent to a server that has dropped it, or is not sent to one that
-// has it: a change was missed when only a part of the table was made anew. After
-// any order of changes the table is the same as one made from nothing.
-func TestTableOfChangesIsTheWholeTable(t *testing.T) {
-	dice := rand.New(rand.NewPCG(3, 4))
-	w := newWorld(8, 6, 3, 2)
-	w.addService()
+// A change that is missed when only some targets are rebuilt sends requests to a
+// server that has unloaded the model, or none to one that has it. After any order
+// of changes the updated table equals one that is rebuilt whole.
+func TestUpdatedTableEqualsRebuiltTable(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 4))
+	f := newTestFleet(8, 6, 3, 2)
+	f.addService()
 	for range 2000 {
-		w.now = w.now.Add(time.Second)
-		w.change(dice)
-		if dice.IntN(3) == 0 {
-			continue // a burst of changes costs one table
+		f.now = f.now.Add(time.Second)
+		f.applyRandomChange(rng)
+		if rng.IntN(3) == 0 {
+			continue // several changes before the next table
 		}
-		parts := w.machine.Table()
-		require.Equal(t, w.machine.wholeTable(), parts)
+		updated := f.machine.Table()
+		require.Equal(t, f.machine.buildTable(), updated)
 	}
 }
 
-func (w *world) addService() {
-	w.doc.Services = append(w.doc.Services, document.Service{
+func (f *testFleet) addService() {
+	f.doc.Services = append(f.doc.Services, document.Service{
 		Name: "boats",
 	})
-	w.servers = append(w.servers, backend.Server{
+	f.servers = append(f.servers, backend.Server{
 		Name:    "boats-1",
 		Kind:    backend.KindService,
 		State:   backend.StateLive,
 		Service: "boats",
 	})
-	w.reports["boats-1"] = &backend.Report{
+	f.reports["boats-1"] = &backend.Report{
 		Server:      "boats-1",
 		Incarnation: "inc-boats",
 	}
-	w.tellDocuments()
-	w.tellList()
+	f.sendDocuments()
+	f.sendServerList()
 }
 
-// change makes one random change and tells the machine.
-func (w *world) change(dice *rand.Rand) {
-	at := dice.IntN(len(w.servers))
-	server := &w.servers[at]
-	report := w.reports[server.Name]
-	switch dice.IntN(8) {
+// applyRandomChange makes one random change and applies it to the machine.
+func (f *testFleet) applyRandomChange(rng *rand.Rand) {
+	at := rng.IntN(len(f.servers))
+	server := &f.servers[at]
+	report := f.reports[server.Name]
+	switch rng.IntN(8) {
 	case 0:
-		server.State = []backend.State{backend.StateLive, backend.StateLeaving}[dice.IntN(2)]
-		w.tellList()
+		server.State = []backend.State{backend.StateLive, backend.StateLeaving}[rng.IntN(2)]
+		f.sendServerList()
 	case 1:
-		server.Region = []ident.Region{testRegion, "armor"}[dice.IntN(2)]
-		w.tellList()
+		server.Region = []ident.Region{testRegion, "armor"}[rng.IntN(2)]
+		f.sendServerList()
 	case 2: // the server is missing from the list for a moment
-		w.machine.Step(w.now, Servers{
-			Servers: append(append([]backend.Server(nil), w.servers[:at]...), w.servers[at+1:]...),
+		f.machine.Step(f.now, Servers{
+			Servers: append(append([]backend.Server(nil), f.servers[:at]...), f.servers[at+1:]...),
 		})
 	case 3:
 		report.Incarnation += "'"
 		report.Leaving = false
-		w.tellReport(server.Name)
+		f.sendReport(server.Name)
 	case 4:
-		report.Leaving = dice.IntN(2) == 0
-		w.tellReport(server.Name)
+		report.Leaving = rng.IntN(2) == 0
+		f.sendReport(server.Name)
 	case 5:
-		w.machine.Step(w.now, ServerLeaving{
+		f.machine.Step(f.now, ServerLeaving{
 			Server: server.Name,
 		})
 	case 6:
 		for i := range report.Residents {
-			report.Residents[i].Ready = dice.IntN(2) == 0
-			report.Residents[i].Version = []ident.Version{"1", "2"}[dice.IntN(2)]
+			report.Residents[i].Ready = rng.IntN(2) == 0
+			report.Residents[i].Version = []ident.Version{"1", "2"}[rng.IntN(2)]
 		}
-		w.tellReport(server.Name)
+		f.sendReport(server.Name)
 	case 7:
-		model := &w.doc.Models[dice.IntN(len(w.doc.Models))]
-		model.Version = []ident.Version{"1", "2"}[dice.IntN(2)]
-		w.tellDocuments()
+		model := &f.doc.Models[rng.IntN(len(f.doc.Models))]
+		model.Version = []ident.Version{"1", "2"}[rng.IntN(2)]
+		f.sendDocuments()
 	}
 }
