--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -1,32 +1,33 @@
 // Package admission decides which requests go first at a backend server that
-// several classes and teams share, and which are refused at once.
+// several classes and teams share, and which requests are refused at once.
 //
-// Model engines run what waits by priority. Were the priority a request's class
-// alone, a flood of the first class would starve the others for ever, and a flood
-// of one team would take another's part of a server that holds models of both.
-// So each class keeps its share, and each team its part; what they leave over
-// goes by the order of classes, and last to the teams over their part.
+// Engines serve their queue by priority. If the priority were a request's class
+// alone, a flood of the first class would starve the others, and a flood of one
+// team would take another team's share of a server that has models of both. So each
+// class keeps its configured share of its team's answers, and each team an equal
+// share of the server. What they leave unused goes to other requests in the order
+// of their classes, and last to the teams over their share.
 //
-// The rule is one of credit, kept by each entry host alone: a whole answer from a
-// server is one unit of its capacity. It gives each team with models there an
-// equal part of a credit, and each class of the answered team its share of one. A
-// request that finds credit takes it and goes first; one that finds none goes
-// after, by its class. So the rule needs no knowledge of what a server can do, and
-// since each host gives credit by the answers that it sees, the hosts' parts add
-// up to the shares without a word between them.
+// Each entry host enforces this by itself with credits. A whole answer from a
+// server is one credit: each team with models there gets an equal part of one, and
+// each class of the answered team its share of one. A request that finds credit
+// takes it and gets the first priority; one that finds none gets a later priority
+// by its class. So the capacity of a server need not be known, and because each
+// host adds credit for the answers that it sees, the hosts' shares add up without
+// any message between them.
 //
 // # Usage
 //
 //	team := server.Team("kerlouan", []int{50, 30}) // control goroutine
 //
-//	place := team.Peek(class)                      // traffic goroutines
-//	if refusal, refused := place.Refuse(load, now, limit); refused { ... }
+//	position := team.Peek(class)                   // traffic goroutines
+//	if lateness, refused := position.Refuse(load, now, limit); refused { ... }
 //	ticket := team.Enter(class)
 //	defer ticket.Leave(answered)
 //	send(ticket.Priority())
 //
-// Nothing here takes a lock: credits and counts are atomic, and a race between
-// two requests for the last credit gives it to one of them.
+// Nothing here takes a lock: credits and counts are atomic, and if two requests
+// race for the last credit, one of them gets it.
 package admission
 
 import (
@@ -36,37 +37,37 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Bounds of credit, in credits. What a team or class has not used is kept for a
-// burst, no longer: else a class that was quiet for an hour could hold up the
-// first one for minutes.
+// Limits of credit. Unused credit is kept for a burst, but only up to these limits:
+// else a class that was quiet for an hour could delay the first class for minutes.
 const (
-	unit     = 1000 // of the counters
-	percent  = unit / 100
-	mostTeam = 16 * unit
-	mostRank = 4 * unit
+	creditUnit     = 1000 // value of one credit in the counters
+	creditPercent  = creditUnit / 100
+	maxTeamCredit  = 16 * creditUnit
+	maxClassCredit = 4 * creditUnit
 )
 
-// maxClasses is how many classes are told apart; later ones go with the last.
+// maxClasses is the number of classes with their own share; later classes count as
+// the last one.
 const maxClasses = 8
 
-// The priorities given to engines, 0 first: within the team's part, then over it,
-// each with the requests within their class's share before the others by class.
+// The priorities sent to engines, 0 first: the requests of teams within their
+// share, then those of teams over it; in each group first those with class credit,
+// then the others by class.
 const (
-	overClass     = 1
-	overTeam      = overClass + maxClasses
-	numPriorities = 2 * overTeam
+	overClassOffset = 1
+	overTeamOffset  = overClassOffset + maxClasses
+	numPriorities   = 2 * overTeamOffset
 )
 
-// Server is what one entry host knows of the use of one backend server. The zero
-// value works.
+// Server is one entry host's state of one backend server. The zero value works.
 type Server struct {
 	teams    atomic.Pointer[[]*Team]
-	underWay [numPriorities]atomic.Int64
-	// answers counts the last whole answers.
-	answers [numPriorities]atomic.Int64
+	inFlight [numPriorities]atomic.Int64
+	// recentAnswers counts the last whole answers, by priority.
+	recentAnswers [numPriorities]atomic.Int64
 }
 
-// Team is one team's part of a backend server.
+// Team is one team's share of a backend server.
 type Team struct {
 	server  *Server
 	name    ident.TeamName
@@ -75,8 +76,8 @@
 	classes [maxClasses]atomic.Int64
 }
 
-// Team gives a team's part of the server, with the shares of its classes in
-// percent. Only one goroutine may call it, the one that makes the tables.
+// Team returns a team's share of the server, with the shares of its classes in
+// percent. Only the goroutine that builds the routing tables may call it.
 func (s *Server) Team(name ident.TeamName, shares []int) *Team {
 	var teams []*Team
 	if known := s.teams.Load(); known != nil {
@@ -91,9 +92,9 @@
 		name:   name,
 		shares: shares[:min(len(shares), maxClasses)],
 	}
-	team.credit.Store(mostTeam)
+	team.credit.Store(maxTeamCredit)
 	for i := range team.classes {
-		team.classes[i].Store(mostRank)
+		team.classes[i].Store(maxClassCredit)
 	}
 	changed := slices.Clone(teams)
 	if at >= 0 {
@@ -105,127 +106,129 @@
 	return team
 }
 
-// Keep forgets the teams that have nothing at the server any more: their parts
-// go to the others. Only the goroutine that calls Team may call it.
-func (s *Server) Keep(holds func(ident.TeamName) bool) {
+// KeepTeams removes the teams that have nothing on the server any more: their
+// shares go to the others. Only the goroutine that calls Team may call it.
+func (s *Server) KeepTeams(isPresent func(ident.TeamName) bool) {
 	known := s.teams.Load()
 	if known == nil {
 		return
 	}
-	kept := slices.DeleteFunc(slices.Clone(*known), func(t *Team) bool { return !holds(t.name) })
+	kept := slices.DeleteFunc(slices.Clone(*known), func(t *Team) bool { return !isPresent(t.name) })
 	s.teams.Store(&kept)
 }
 
-// Ticket is one request's place at a server.
+// Ticket is one admitted request at a server.
 type Ticket struct {
 	team     *Team
 	priority int
 }
 
-// Peek gives the place that a request of a class would get now; 0 is the first class.
-func (t *Team) Peek(class int) Place {
-	class = t.clamp(class)
+// Peek returns the queue position that a request of a class would get now; 0 is the
+// first class.
+func (t *Team) Peek(class int) QueuePosition {
+	class = t.clampClass(class)
 	priority := 0
-	if t.classes[class].Load() < unit {
-		priority = overClass + class
+	if t.classes[class].Load() < creditUnit {
+		priority = overClassOffset + class
 	}
-	if !t.alone() && t.credit.Load() < unit {
-		priority += overTeam
+	if !t.isOnlyTeam() && t.credit.Load() < creditUnit {
+		priority += overTeamOffset
 	}
-	return Place{
+	return QueuePosition{
 		team:     t,
 		priority: priority,
 	}
 }
 
-// Enter takes the credit that there is and counts the request as under way.
+// Enter takes the credit that is available and counts the request as in flight.
 func (t *Team) Enter(class int) Ticket {
-	class = t.clamp(class)
+	class = t.clampClass(class)
 	priority := 0
-	if !take(&t.classes[class]) {
-		priority = overClass + class
+	if !takeCredit(&t.classes[class]) {
+		priority = overClassOffset + class
 	}
-	if !take(&t.credit) && !t.alone() {
-		priority += overTeam
+	if !takeCredit(&t.credit) && !t.isOnlyTeam() {
+		priority += overTeamOffset
 	}
-	t.server.underWay[priority].Add(1)
+	t.server.inFlight[priority].Add(1)
 	return Ticket{
 		team:     t,
 		priority: priority,
 	}
 }
 
-// Priority is what the engine is told: 0 goes first.
+// Priority is the priority to send to the engine: 0 goes first.
 func (k *Ticket) Priority() int {
 	return k.priority
 }
 
-// Leave ends a request's place. A whole answer gives credit. The zero Ticket has
-// no place to end.
+// Leave counts the request's end. A whole answer adds credit. Later calls, and
+// calls on the zero Ticket, do nothing.
 func (k *Ticket) Leave(answered bool) {
 	if k.team == nil {
 		return
 	}
-	k.team.server.underWay[k.priority].Add(-1)
+	k.team.server.inFlight[k.priority].Add(-1)
 	if answered {
-		k.team.server.answered(k.priority)
-		k.team.answered()
+		k.team.server.creditTeams(k.priority)
+		k.team.creditClasses()
 	}
 	k.team = nil
 }
 
-// answersKept is how many last answers tell the engine's use.
-const answersKept = 128
+// maxRecentAnswers is the number of answers at one priority after which all counts of
+// recent answers are halved, so that they show how the server was used lately.
+const maxRecentAnswers = 128
 
-// answered gives each team its part of one credit.
-func (s *Server) answered(priority int) {
-	if s.answers[priority].Add(1) > answersKept {
-		for i := range s.answers {
-			s.answers[i].Store(s.answers[i].Load() / 2)
+// creditTeams counts an answer and adds an equal part of one credit to each team.
+func (s *Server) creditTeams(priority int) {
+	if s.recentAnswers[priority].Add(1) > maxRecentAnswers {
+		for i := range s.recentAnswers {
+			s.recentAnswers[i].Store(s.recentAnswers[i].Load() / 2)
 		}
 	}
 	teams := *s.teams.Load()
 	for _, team := range teams {
-		give(&team.credit, unit/int64(len(teams)), mostTeam)
+		addCredit(&team.credit, creditUnit/int64(len(teams)), maxTeamCredit)
 	}
 }
 
-// answered gives each class its share of one credit.
-func (t *Team) answered() {
+// creditClasses adds to each class its share of one credit.
+func (t *Team) creditClasses() {
 	for i, share := range t.shares {
-		give(&t.classes[i], int64(share)*percent, mostRank)
+		addCredit(&t.classes[i], int64(share)*creditPercent, maxClassCredit)
 	}
 }
 
-// alone tells that no other team has models at the server.
-func (t *Team) alone() bool {
+// isOnlyTeam reports whether no other team has models on the server.
+func (t *Team) isOnlyTeam() bool {
 	return len(*t.server.teams.Load()) == 1
 }
 
-// contended tells that another team has used its part lately.
-func (t *Team) contended() bool {
+// isContended reports whether another team has recently used its share.
+func (t *Team) isContended() bool {
 	for _, other := range *t.server.teams.Load() {
-		if other != t && other.credit.Load() < mostTeam {
+		if other != t && other.credit.Load() < maxTeamCredit {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Team) clamp(class int) int {
+func (t *Team) clampClass(class int) int {
 	return min(class, max(len(t.shares)-1, 0))
 }
 
-func take(credit *atomic.Int64) bool {
-	if credit.Add(-unit) >= 0 {
+func takeCredit(credit *atomic.Int64) bool {
+	if credit.Add(-creditUnit) >= 0 {
 		return true
 	}
-	credit.Add(unit)
+	credit.Add(creditUnit)
 	return false
 }
 
-func give(credit *atomic.Int64, amount, most int64) {
-	if credit.Add(amount) > most {
-		credit.Store(most)
+func addCredit(credit *atomic.Int64, amount, limit int64) {
+	if credit.Add(amount) > limit {
+		credit.Store(limit)
 	}
 }
--- a/internal/control/admission/refuse.go
+++ b/internal/control/admission/refuse.go
@@ -5,54 +5,57 @@
 	"time"
 )
 
-// Load is what is believed of a server's queue and pace.
-type Load struct {
-	// Queue counts the requests there, Slots those that can run at once.
+// ServerLoad is the estimated queue and speed of a server.
+type ServerLoad struct {
+	// Queue is the number of requests there, Slots the number that can run at once.
 	Queue float64
 	Slots float64
-	// Empty is the time to the first token with a free slot, Whole that of a whole
-	// answer once it runs.
-	Empty time.Duration
-	Whole time.Duration
+	// FirstToken is the time to the first token with a free slot, WholeAnswer that
+	// to the end of the answer.
+	FirstToken  time.Duration
+	WholeAnswer time.Duration
 }
 
-// Place is where a request would come in a server's queue.
-type Place struct {
+// QueuePosition is where a request would be placed in a server's queue.
+type QueuePosition struct {
 	team     *Team
 	priority int
 }
 
-// Wait gives the expected time to the first token. Of the requests that wait,
-// those that go first count; and of the engine's answers, only those that were
-// left over for requests that don't go first: for as long as this one waits,
-// others will come and overtake it. The host knows both for its own requests and
-// takes the others' to be alike, as the balancer gives all hosts the same kind.
-func (p Place) Wait(load Load) time.Duration {
+// ExpectedTTFT returns the expected time to the first token (TTFT). Of the waiting
+// requests, only those with the same or an earlier priority are ahead; and of the
+// engine's answers, only those that are not given to earlier priorities count,
+// because requests with an earlier priority will keep arriving and overtake this
+// one while it waits. The host knows the mix of priorities of its own requests and
+// assumes the same of the others', because the load balancer sends all hosts the
+// same kind of requests.
+func (p QueuePosition) ExpectedTTFT(load ServerLoad) time.Duration {
 	waiting := load.Queue - load.Slots + 1
 	if waiting <= 0 {
-		return load.Empty
+		return load.FirstToken
 	}
 	server := p.team.server
-	ahead := waiting * part(&server.underWay, 0, p.priority)
-	pace := load.Slots * max(part(&server.answers, p.priority, numPriorities-1), p.leastLeft())
-	return load.Empty + time.Duration(ahead/pace*float64(load.Whole))
+	requestsAhead := waiting * shareWithin(&server.inFlight, 0, p.priority)
+	effectiveSlots := load.Slots * max(shareWithin(&server.recentAnswers, p.priority, numPriorities-1), p.minAnswerShare())
+	return load.FirstToken + time.Duration(requestsAhead/effectiveSlots*float64(load.WholeAnswer))
 }
 
-// leastLeft stands in for a part too small to divide by.
-const leastLeft = 0.01
+// minShare replaces a share that is too small to divide by.
+const minShare = 0.01
 
-// leastLeft gives the part of the answers that a request gets whatever was left
-// over lately. A team that has credit has not used its part, so that it is there.
-func (p Place) leastLeft() float64 {
-	if p.priority >= overTeam || p.team.alone() {
-		return leastLeft
+// minAnswerShare returns the least share of the answers that a request is expected
+// to get, whatever earlier priorities recently left over. A team that has credit
+// has not used its share, so that share is available to it.
+func (p QueuePosition) minAnswerShare() float64 {
+	if p.priority >= overTeamOffset || p.team.isOnlyTeam() {
+		return minShare
 	}
 	return 1 / float64(len(*p.team.server.teams.Load()))
 }
 
-// part gives the part of all counts that lies within some priorities, all of it
-// where nothing has been counted.
-func part(counts *[numPriorities]atomic.Int64, from, to int) float64 {
+// shareWithin returns the share of all counts that lies within a range of
+// priorities, or 1 if nothing has been counted.
+func shareWithin(counts *[numPriorities]atomic.Int64, from, to int) float64 {
 	var within, all int64
 	for priority := range counts {
 		count := counts[priority].Load()
@@ -67,24 +70,24 @@
 	return float64(within) / float64(all)
 }
 
-// overTeamPart is the part of its promised time that a team over its part of a
-// contended server may fill with waiting requests. The rest stays room for the
-// others: the queue of an engine is bounded, and a full one refuses all alike.
-const overTeamPart = 0.5
+// overTeamTimeShare is the part of its promised time that a team over its share of
+// a contended server may fill with waiting requests. The rest is left to the other
+// teams: an engine's queue is bounded, and a full one refuses all teams alike.
+const overTeamTimeShare = 0.5
 
-// Refuse tells whether a request should be refused at once, since it would not
-// be answered by the limit, and by how much it would be late. Held back, it would
-// only take the place of one that still can be. Where no queue stands before it,
-// nothing is refused: a promise that can't be kept by an idle server is no reason
-// to answer nobody.
-func (p Place) Refuse(load Load, now, limit time.Time) (time.Duration, bool) {
+// Refuse reports whether a request should be refused at once, because it would not
+// be answered by the limit, and by how much it would be late. Queued, it would only
+// take the place of a request that can still be in time. If there is no queue
+// before it, nothing is refused: a promised time that even an idle server can't
+// meet is no reason to answer nobody.
+func (p QueuePosition) Refuse(load ServerLoad, now, limit time.Time) (time.Duration, bool) {
 	if load.Queue < load.Slots {
 		return 0, false
 	}
-	room := limit.Sub(now)
-	if p.priority >= overTeam && p.team.contended() {
-		room = time.Duration(float64(room) * overTeamPart)
+	timeLeft := limit.Sub(now)
+	if p.priority >= overTeamOffset && p.team.isContended() {
+		timeLeft = time.Duration(float64(timeLeft) * overTeamTimeShare)
 	}
-	late := p.Wait(load) - room
-	return late, late > 0
+	lateness := p.ExpectedTTFT(load) - timeLeft
+	return lateness, lateness > 0
 }
--- a/internal/control/routing/build.go
+++ b/internal/control/routing/build.go
@@ -198,7 +198,7 @@
 			teams[decl.document.Team] = true
 		}
 	}
-	server.loadTracker.admission.Keep(func(team ident.TeamName) bool { return teams[team] })
+	server.loadTracker.admission.KeepTeams(func(team ident.TeamName) bool { return teams[team] })
 }
 
 // availableServers returns the servers that can take requests for a target, by
--- a/internal/control/routing/choose.go
+++ b/internal/control/routing/choose.go
@@ -232,11 +232,11 @@
 }
 
 // Load returns the estimated load of the replica's server, for admission.
-func (r *Replica) Load(now time.Time) admission.Load {
-	return admission.Load{
-		Queue: r.Gauge.EstimateQueue(now),
-		Slots: r.Gauge.Slots(),
-		Empty: r.roundTrip + r.Gauge.PrefillTime(),
-		Whole: r.Gauge.PrefillTime() + r.Gauge.GenerationTime(),
+func (r *Replica) Load(now time.Time) admission.ServerLoad {
+	return admission.ServerLoad{
+		Queue:       r.Gauge.EstimateQueue(now),
+		Slots:       r.Gauge.Slots(),
+		FirstToken:  r.roundTrip + r.Gauge.PrefillTime(),
+		WholeAnswer: r.Gauge.PrefillTime() + r.Gauge.GenerationTime(),
 	}
 }
