--- a/internal/control/burn/burn.go
+++ b/internal/control/burn/burn.go
@@ -1,9 +1,10 @@
-// Package burn counts how requests fared against their promised times, and
-// reports how fast each team, class and model burns its error budget.
+// Package burn counts how requests fared against their promised times, and reports
+// how fast each team, class and model burns its error budget.
 //
-// The Machine belongs to the control goroutine. It keeps a row a minute for
-// the last hours and a row an hour beyond that, up to three days, so its size
-// depends on what is served and not on how much.
+// A Machine belongs to the control goroutine of an entry host, which counts each
+// finished request in it. It keeps a row a minute for the last hours and a row an
+// hour beyond that, up to three days, so its size depends on the number of keys and
+// not on the number of requests. Report merges the rows of several hosts.
 //
 // # Usage
 //
@@ -20,11 +21,11 @@
 //
 // # Terms
 //
-// The objective is the share of requests that must be answered in their
-// promised time. The error budget is the rest. The burn rate is the share that
-// failed over the error budget: 1 uses the budget up exactly by the end of its
-// period, 14.4 within a thirtieth of it. Source: the usual alerting on service
-// level objectives by several windows.
+// The objective is the share of requests that must be answered in their promised
+// time. The error budget is the rest. The burn rate is the share of requests not
+// answered in time over the error budget: 1 uses the budget up exactly by the end
+// of its period, 14.4 within a thirtieth of it. This is the usual alerting on
+// service level objectives over several windows.
 package burn
 
 import (
@@ -34,11 +35,11 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Objective is the share that must be answered in their promised time, as the
-// target of letter 1 states it: 95 in 100.
+// Objective is the share of requests that must be answered in their promised time:
+// 95 in 100.
 const Objective = 0.95
 
-// Result is how one request fared.
+// Result is how one request ended.
 type Result uint8
 
 // The results, the good one first.
@@ -50,12 +51,12 @@
 	numResults
 )
 
-// String gives the result's name in reports.
+// String returns the result's name in reports.
 func (r Result) String() string {
 	return [numResults]string{"InTime", "Late", "Refused", "Failed"}[r]
 }
 
-// Key is what is counted apart.
+// Key identifies the requests that are counted together.
 type Key struct {
 	Team  ident.TeamName
 	Class ident.ClassName
@@ -68,44 +69,44 @@
 	Result Result
 }
 
-// Counts is how many requests had each result.
+// Counts is the number of requests with each result.
 type Counts [numResults]int64
 
-// All adds the results up.
+// All returns the number of requests.
 func (c *Counts) All() int64 {
-	var all int64
+	var total int64
 	for _, n := range c {
-		all += n
+		total += n
 	}
-	return all
+	return total
 }
 
-// Bad adds up all results but the good one.
+// Bad returns the number of requests with any other result than InTime.
 func (c *Counts) Bad() int64 {
 	return c.All() - c[InTime]
 }
 
-// add merges other counts in.
+// add adds other counts.
 func (c *Counts) add(other *Counts) {
 	for i := range c {
 		c[i] += other[i]
 	}
 }
 
-// Row is the counts of one key in one slice of time that began at Start.
+// Row is the counts of one key in one time slice that started at Start.
 type Row struct {
 	Key
 	Start  time.Time
 	Counts Counts
 }
 
-// Slices of time: fine ones as far as the six-hour window looks, coarse ones
-// as far as the longest.
+// Time slices and how long they are kept: fine ones for the six-hour window, coarse
+// ones for the longest.
 const (
-	fine       = time.Minute
-	coarse     = time.Hour
-	keepFine   = 7 * time.Hour
-	keepCoarse = 73 * time.Hour
+	fineStep        = time.Minute
+	coarseStep      = time.Hour
+	fineRetention   = 7 * time.Hour
+	coarseRetention = 73 * time.Hour
 )
 
 type rowKey struct {
@@ -115,27 +116,27 @@
 
 // Machine keeps this host's counts. The zero value works.
 type Machine struct {
-	fine   map[rowKey]*Counts
-	coarse map[rowKey]*Counts
-	swept  time.Time
+	fineRows    map[rowKey]*Counts
+	coarseRows  map[rowKey]*Counts
+	lastRemoval time.Time
 }
 
-// Count takes one finished request.
+// Count adds one finished request.
 func (m *Machine) Count(now time.Time, sample Sample) {
-	if m.fine == nil {
-		m.fine = make(map[rowKey]*Counts)
-		m.coarse = make(map[rowKey]*Counts)
+	if m.fineRows == nil {
+		m.fineRows = make(map[rowKey]*Counts)
+		m.coarseRows = make(map[rowKey]*Counts)
 	}
-	count(m.fine, now.Truncate(fine), sample)
-	count(m.coarse, now.Truncate(coarse), sample)
-	if now.Sub(m.swept) >= fine {
-		m.swept = now
-		sweep(m.fine, now.Add(-keepFine))
-		sweep(m.coarse, now.Add(-keepCoarse))
+	addToRow(m.fineRows, now.Truncate(fineStep), sample)
+	addToRow(m.coarseRows, now.Truncate(coarseStep), sample)
+	if now.Sub(m.lastRemoval) >= fineStep {
+		m.lastRemoval = now
+		removeBefore(m.fineRows, now.Add(-fineRetention))
+		removeBefore(m.coarseRows, now.Add(-coarseRetention))
 	}
 }
 
-func count(rows map[rowKey]*Counts, start time.Time, sample Sample) {
+func addToRow(rows map[rowKey]*Counts, start time.Time, sample Sample) {
 	key := rowKey{
 		Key:   sample.Key,
 		start: start.Unix(),
@@ -148,7 +149,7 @@
 	counts[sample.Result]++
 }
 
-func sweep(rows map[rowKey]*Counts, before time.Time) {
+func removeBefore(rows map[rowKey]*Counts, before time.Time) {
 	for key := range rows {
 		if key.start < before.Unix() {
 			delete(rows, key)
@@ -156,27 +157,27 @@
 	}
 }
 
-// Rows gives all counts that the windows of a report look at, oldest first:
-// fine rows where there are any, coarse ones for what is older. Nothing is in
-// two rows.
+// Rows returns all counts that the windows of a report need, oldest first: fine
+// rows as far as they are kept, coarse rows for what is older. Each request is in
+// at most one row.
 func (m *Machine) Rows(now time.Time) []Row {
-	border := now.Add(-keepFine).Truncate(coarse).Add(coarse)
+	firstFine := now.Add(-fineRetention).Truncate(coarseStep).Add(coarseStep)
 	var rows []Row
-	for key, counts := range m.coarse {
-		if key.start < border.Unix() {
-			rows = append(rows, row(key, counts))
+	for key, counts := range m.coarseRows {
+		if key.start < firstFine.Unix() {
+			rows = append(rows, newRow(key, counts))
 		}
 	}
-	for key, counts := range m.fine {
-		if key.start >= border.Unix() {
-			rows = append(rows, row(key, counts))
+	for key, counts := range m.fineRows {
+		if key.start >= firstFine.Unix() {
+			rows = append(rows, newRow(key, counts))
 		}
 	}
-	sort.Slice(rows, func(i, j int) bool { return rows[i].before(&rows[j]) })
+	sort.Slice(rows, func(i, j int) bool { return rows[i].isBefore(&rows[j]) })
 	return rows
 }
 
-func row(key rowKey, counts *Counts) Row {
+func newRow(key rowKey, counts *Counts) Row {
 	return Row{
 		Key:    key.Key,
 		Start:  time.Unix(key.start, 0).UTC(),
@@ -184,7 +185,7 @@
 	}
 }
 
-func (r *Row) before(other *Row) bool {
+func (r *Row) isBefore(other *Row) bool {
 	if !r.Start.Equal(other.Start) {
 		return r.Start.Before(other.Start)
 	}
--- a/internal/control/burn/report.go
+++ b/internal/control/burn/report.go
@@ -10,13 +10,13 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Window is a span of time before now that a report looks at.
+// Window is a span of time up to now that a report covers.
 type Window struct {
 	Name string
 	Span time.Duration
 }
 
-// Windows are those of every report, the shortest first.
+// Windows are the windows of every report, the shortest first.
 var Windows = []Window{
 	{Name: "5m", Span: 5 * time.Minute},
 	{Name: "1h", Span: time.Hour},
@@ -24,34 +24,35 @@
 	{Name: "3d", Span: 72 * time.Hour},
 }
 
-// Line is one key in one window.
+// Line is the counts of one key in one window.
 type Line struct {
 	Key
 	Window string
 	Counts Counts
 }
 
-// Share is the part answered in the promised time, 1 where nothing was asked.
+// Share is the share of requests answered in the promised time, 1 if there were
+// none.
 func (l *Line) Share() float64 {
-	all := l.Counts.All()
-	if all == 0 {
+	total := l.Counts.All()
+	if total == 0 {
 		return 1
 	}
-	return float64(l.Counts[InTime]) / float64(all)
+	return float64(l.Counts[InTime]) / float64(total)
 }
 
-// Rate is the burn rate: how many times faster than allowed the budget goes.
+// Rate is the burn rate: how many times faster than allowed the budget is used up.
 func (l *Line) Rate() float64 {
 	return (1 - l.Share()) / (1 - Objective)
 }
 
-// BudgetLeft is the part of the window's error budget that is left; below zero
-// it is overdrawn.
+// BudgetLeft is the fraction of the window's error budget that is left; below zero
+// if it is overdrawn.
 func (l *Line) BudgetLeft() float64 {
 	return 1 - l.Rate()
 }
 
-// Cause names the bad result that used up most of the budget.
+// Cause is the bad result that used up most of the budget.
 func (l *Line) Cause() string {
 	worst := Late
 	for result := Late; result < numResults; result++ {
@@ -65,21 +66,21 @@
 	return worst.String()
 }
 
-// Report gives a line for each key in each window, from the rows of any number
-// of hosts.
+// Report returns a line for each key in each window, from the rows of any number of
+// hosts.
 func Report(now time.Time, rows []Row) []Line {
 	var lines []Line
 	for _, window := range Windows {
-		lines = append(lines, window.lines(now, rows)...)
+		lines = append(lines, window.reportLines(now, rows)...)
 	}
 	return lines
 }
 
-func (w Window) lines(now time.Time, rows []Row) []Line {
+func (w Window) reportLines(now time.Time, rows []Row) []Line {
 	since := now.Add(-w.Span)
 	sums := make(map[Key]*Counts)
 	for i := range rows {
-		if rows[i].Start.Before(since.Truncate(fine)) {
+		if rows[i].Start.Before(since.Truncate(fineStep)) {
 			continue
 		}
 		sum, known := sums[rows[i].Key]
@@ -100,12 +101,12 @@
 	sort.Slice(lines, func(i, j int) bool {
 		a := Row{Key: lines[i].Key}
 		b := Row{Key: lines[j].Key}
-		return a.before(&b)
+		return a.isBefore(&b)
 	})
 	return lines
 }
 
-// Text renders a report for a terminal. missing are hosts whose counts are not
+// Text formats a report for a terminal. missing are the hosts whose counts are not
 // in it.
 func Text(lines []Line, missing []ident.HostID) string {
 	var text strings.Builder
@@ -120,7 +121,7 @@
 	return text.String()
 }
 
-// MissingNote says which hosts' counts a report lacks.
+// MissingNote returns a sentence that names the hosts whose counts a report lacks.
 func MissingNote(missing []ident.HostID) string {
 	names := make([]string, 0, len(missing))
 	for _, host := range missing {
@@ -141,7 +142,7 @@
 	_ = table.Flush()
 }
 
-// Slice is all requests of one team in one minute.
+// Slice is the counts of one team in one minute, over all classes and models.
 type Slice struct {
 	Team   ident.TeamName
 	Start  time.Time
@@ -151,31 +152,31 @@
 // TimelineSpan is how far back a timeline goes.
 const TimelineSpan = time.Hour
 
-// Timeline gives the last hour of each team by the minute, oldest first, from
-// the rows of any number of hosts.
+// Timeline returns the last hour of each team by the minute, oldest first, from the
+// rows of any number of hosts.
 func Timeline(now time.Time, rows []Row) []Slice {
-	type key struct {
+	type minuteKey struct {
 		team  ident.TeamName
 		start int64
 	}
 	since := now.Add(-TimelineSpan)
-	sums := make(map[key]*Slice)
+	sums := make(map[minuteKey]*Slice)
 	for i := range rows {
 		row := &rows[i]
 		if row.Start.Before(since) {
 			continue
 		}
-		at := key{
+		key := minuteKey{
 			team:  row.Team,
 			start: row.Start.Unix(),
 		}
-		if sums[at] == nil {
-			sums[at] = &Slice{
+		if sums[key] == nil {
+			sums[key] = &Slice{
 				Team:  row.Team,
 				Start: row.Start,
 			}
 		}
-		sums[at].Counts.add(&row.Counts)
+		sums[key].Counts.add(&row.Counts)
 	}
 	slices := make([]Slice, 0, len(sums))
 	for _, slice := range sums {
