--- a/internal/domain/backend/backend.go
+++ b/internal/domain/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend has what the system knows of backend servers: the platform's
-// list of them, the reports that model engines give of themselves, the orders
-// that engines take, and the events of their prefix caches.
+// Package backend has the data types for backend servers: the platform's server
+// list, the reports that engines send of themselves, the orders that they accept,
+// and the events of their prefix caches.
 //
 // # Usage
 //
@@ -14,8 +14,9 @@
 //		Memory:  20 * unit.Gibibyte,
 //	}
 //
-// All of it is hearsay: the list lags, reports lag, orders get lost or come
-// late, and cache events have gaps. Each type says how old it is or what orders it.
+// None of this data is current or complete: the list and the reports lag, orders get
+// lost or arrive late, and cache events have gaps. Each type has the time or the number
+// that dates or orders it.
 package backend
 
 import (
@@ -26,7 +27,8 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// Kind tells model engines from plain services and entry hosts in the list.
+// Kind is what a host of the platform's list runs: an engine, a plain service or an
+// entry host.
 type Kind string
 
 // The kinds of host in the platform's list.
@@ -36,7 +38,7 @@
 	KindEntry   Kind = "Entry"
 )
 
-// State is what the list says of a host.
+// State is the state of a host in the platform's list.
 type State string
 
 // The states of a host in the platform's list.
@@ -57,41 +59,44 @@
 	Service ident.ServiceName
 }
 
-// Report is a model engine's word on itself.
+// Report is the status that an engine reports of itself.
 type Report struct {
 	Server      ident.ServerName
 	Incarnation ident.Incarnation
-	// At is when the engine took the report, by its own clock.
+	// At is when the report was made, by the engine's clock; a report that carries no
+	// time has the time at which it was decoded.
 	At time.Time
 	// Memory is all accelerator memory of the server.
 	Memory unit.Bytes
-	// Residents are the weights in memory, those still loading among them.
+	// Residents are the weights in accelerator memory, including those that still load.
 	Residents []Resident
 	// Running and Waiting count requests; Slots is how many can run at once.
 	Running int
 	Waiting int
 	Slots   int
-	// TokensPerSecond is what the engine generated lately, over all requests.
+	// TokensPerSecond is the engine's recent output, over all requests.
 	TokensPerSecond float64
-	// Leaving tells that the engine takes no new work.
+	// Leaving is set if the engine accepts no new work.
 	Leaving bool
-	// ChecksFencing tells that the engine refuses orders with a smaller fencing
-	// number than Fencing, the greatest it has seen.
+	// ChecksFencing is set if the engine refuses orders with a smaller fencing
+	// number than Fencing, the greatest that it has seen.
 	ChecksFencing bool
 	Fencing       ident.FencingNumber
-	// Settled has the orders that can no longer take effect later than now:
-	// carried out, failed or refused, the newest last. It is bounded.
+	// Settled has the orders that can't take effect after this report, since they
+	// have been executed, have failed or were refused; the newest last. Its length
+	// is bounded.
 	Settled []SettledOrder
 
-	// OrderUnderWay tells that the engine carries an order out and takes no other.
+	// OrderUnderWay is set while the engine executes an order; it accepts no other.
 	OrderUnderWay bool
-	// OrdersAccepted counts the orders that this life of the engine has taken.
-	// Engines that count tell by it whether an order can still take effect: one
-	// that was sent under an earlier count can't.
+	// OrdersAccepted counts the orders that the engine accepted in this incarnation.
+	// It shows whether an order can still take effect at an engine that counts: an
+	// order that was sent for a smaller count can't.
 	OrdersAccepted int64
-	// Coming has the adapters that are on their way to the engine.
+	// Coming has the adapters that are being loaded.
 	Coming []Resident
-	// InHostMemory and OnDisk are the models of which the server has a copy.
+	// InHostMemory and OnDisk are the models whose weights the server has a copy of
+	// in host memory and on disk.
 	InHostMemory []ident.ModelName
 	OnDisk       []ident.ModelName
 	// CacheUsed is the part of CacheTotal that can't be evicted.
@@ -99,18 +104,19 @@
 	CacheTotal unit.Tokens
 }
 
-// Registration is a server's own entry in a registry.
+// Registration is the entry that a server writes of itself in a registry.
 type Registration struct {
 	Server Server
-	// Report is what the entry says of the server itself: Incarnation, Slots,
-	// Leaving, OrdersAccepted and, for a model engine, Residents.
+	// Report has the part of the server's status that the entry contains: Incarnation,
+	// Slots, Leaving, OrdersAccepted, InHostMemory, OnDisk and, for an engine, Residents.
 	Report Report
-	// GoneAt is when a server that leaves at short notice is gone; zero for all
-	// others.
-	GoneAt time.Time
+	// TerminatesAt is when a server that leaves at short notice terminates; zero for
+	// all others.
+	TerminatesAt time.Time
 }
 
-// Resident is a set of weights in a server's memory.
+// Resident is one set of weights in an engine: of a model or of an adapter. Ready is
+// unset while it loads.
 type Resident struct {
 	Model   ident.ModelName
 	Adapter ident.AdapterName // empty for the model itself
@@ -119,7 +125,7 @@
 	Ready   bool
 }
 
-// Weights is what a request asks for that this resident can answer.
+// Weights returns the weights that a request names to be answered by this resident.
 func (r *Resident) Weights() request.Weights {
 	return request.Weights{
 		Model:   r.Model,
@@ -127,28 +133,28 @@
 	}
 }
 
-// Holds gives the weights of all residents.
+// Holds returns the weights of all residents.
 func (r *Report) Holds() []request.Weights {
-	holds := make([]request.Weights, 0, len(r.Residents))
+	weights := make([]request.Weights, 0, len(r.Residents))
 	for i := range r.Residents {
-		holds = append(holds, r.Residents[i].Weights())
+		weights = append(weights, r.Residents[i].Weights())
 	}
-	return holds
+	return weights
 }
 
-// Taken adds up the memory of all residents.
+// Taken returns the memory that all residents use together.
 func (r *Report) Taken() unit.Bytes {
-	var taken unit.Bytes
+	var used unit.Bytes
 	for i := range r.Residents {
-		taken += r.Residents[i].Memory
+		used += r.Residents[i].Memory
 	}
-	return taken
+	return used
 }
 
-// OrderKind says what an order asks for.
+// OrderKind is the operation that an order requests.
 type OrderKind string
 
-// The orders that a model engine takes.
+// The kinds of order that an engine executes.
 const (
 	LoadModel     OrderKind = "LoadModel"
 	UnloadModel   OrderKind = "UnloadModel"
@@ -156,13 +162,13 @@
 	UnloadAdapter OrderKind = "UnloadAdapter"
 )
 
-// Order asks a model engine to change what it holds. An engine carries out an
-// order id at most once in one incarnation.
+// Order requests an engine to load or unload weights. An engine executes an order id
+// at most once in one incarnation.
 type Order struct {
 	ID      ident.OrderID
 	Fencing ident.FencingNumber
-	// Incarnation is the life of the server that the order is meant for; a
-	// server in another life refuses it where it checks fencing.
+	// Incarnation is the server's incarnation that the order is meant for. A server
+	// that checks fencing refuses an order for another incarnation.
 	Incarnation ident.Incarnation
 	Kind        OrderKind
 	Model       ident.ModelName
@@ -174,47 +180,48 @@
 // CountedOrder is an order to an engine that counts the orders that it accepts.
 type CountedOrder struct {
 	Order
-	// Holder names who gives the order.
+	// Holder is the leader that sends the order.
 	Holder ident.HostID
 	// Server is the engine that the order is meant for; any other refuses it.
 	Server ident.ServerName
-	// AfterOrders is the count of accepted orders at which the order may take effect.
+	// AfterOrders is the count of accepted orders for which the order is valid: an
+	// engine with another count refuses it.
 	AfterOrders int64
 }
 
-// OrderAnswer is what an engine that counts orders says of one.
+// OrderAnswer is the response to an order of an engine that counts orders.
 type OrderAnswer string
 
-// The answers to an order. Unknown stands for no answer: the order may take
-// effect at once, later or never.
+// The responses to an order. OrderUnknown means that there was none: the order may take
+// effect now, later or never.
 const (
 	OrderUnknown   OrderAnswer = "Unknown"
 	OrderAccepted  OrderAnswer = "Accepted"
-	OrderHolds     OrderAnswer = "Holds"     // there was nothing to do
-	OrderConflicts OrderAnswer = "Conflicts" // another is under way, or the count differs
-	OrderFenced    OrderAnswer = "Fenced"    // a later holder has been seen
-	OrderInvalid   OrderAnswer = "Invalid"   // the engine knows no such order
-	OrderMisplaced OrderAnswer = "Misplaced" // another server has the address
+	OrderHolds     OrderAnswer = "Holds"     // already in effect: there was nothing to do
+	OrderConflicts OrderAnswer = "Conflicts" // another order is in progress, or the count differs
+	OrderFenced    OrderAnswer = "Fenced"    // the engine has seen a later leader
+	OrderInvalid   OrderAnswer = "Invalid"   // the engine can't execute such an order
+	OrderMisplaced OrderAnswer = "Misplaced" // another server has the address, or none was reached
 )
 
-// SettledOrder is an order that has had its effect, or never will.
+// SettledOrder is an order that can't take effect any more.
 type SettledOrder struct {
 	ID     ident.OrderID
 	Result OrderResult
 }
 
-// OrderResult is how an order ended at the engine.
+// OrderResult is the final result of an order at the engine.
 type OrderResult string
 
-// The ends of an order.
+// The results of an order.
 const (
 	OrderDone    OrderResult = "Done"
 	OrderFailed  OrderResult = "Failed"
 	OrderRefused OrderResult = "Refused"
 )
 
-// CacheEvent tells that a prefix came into or left an engine's cache. Events
-// of one incarnation are numbered; a jump in Number is a gap.
+// CacheEvent reports that a prefix was stored in an engine's cache or evicted from it.
+// Number counts the events of one incarnation; a jump means that events were lost.
 type CacheEvent struct {
 	Number int64
 	Model  ident.ModelName
