--- a/internal/domain/store/store.go
+++ b/internal/domain/store/store.go
@@ -1,9 +1,8 @@
-// Package store has the words in which the system speaks about the platform's
-// key-value service: entries, swaps, leases, watches and the two ways a call
-// can fail.
+// Package store has the data types and errors of the platform's key-value service:
+// entries, swaps (compare-and-swap transactions), leases and watches.
 //
-// The packages that need the service each declare a small interface over these
-// types; internal/peer/etcd fulfils them all.
+// The packages that use the service each declare a small interface over these types;
+// its clients implement them.
 //
 // # Usage
 //
@@ -18,15 +17,15 @@
 //		}},
 //	})
 //	switch {
-//	case errors.Is(err, store.ErrUnknownOutcome): // read the key: it may be written
+//	case errors.Is(err, store.ErrUnknownOutcome): // it may be written: read the key
 //	case err != nil: // nothing was written
-//	case !result.Swapped: // somebody was faster: result.Current has what is there
+//	case !result.Swapped: // another write came first: result.Current has the current entries
 //	}
 //
 // # Source
 //
-// The meaning of revisions, compares, leases and watches is that of the
-// published etcd v3 API.
+// Revisions, compares, leases and watches have the semantics of the published etcd v3
+// API.
 package store
 
 import (
@@ -35,64 +34,64 @@
 	"github.com/pkg/errors"
 )
 
-// ErrUnavailable says that a call had no effect: the service refused it, or it
-// was never sent.
+// ErrUnavailable means that a call had no effect: the service refused it, or it was
+// never sent.
 var ErrUnavailable = errors.New("key-value service unavailable")
 
-// ErrUnknownOutcome says that a write was sent and its answer lost, so that it
-// may have taken effect, or may yet.
+// ErrUnknownOutcome means that a write was sent and its answer was lost: it may have
+// taken effect, or may do so later.
 var ErrUnknownOutcome = errors.New("key-value service: outcome of a write unknown")
 
-// ErrWatchBroken says that a watch ended and changes may have been missed: read
-// everything again, then watch from the revision of that reading.
+// ErrWatchBroken means that a watch ended and changes may have been missed. The caller
+// must list everything again, and then watch from the listing's revision.
 var ErrWatchBroken = errors.New("key-value service: watch broken")
 
-// ErrLeaseGone says that the service has ended a lease, or never had it.
-var ErrLeaseGone = errors.New("key-value service: lease gone")
+// ErrLeaseGone means that a lease has expired, was revoked or never existed.
+var ErrLeaseGone = errors.New("key-value service: lease not found")
 
-// ErrHistoryGone says that the changes that a watch asked for are no longer kept.
-var ErrHistoryGone = errors.New("key-value service: history gone")
+// ErrCompacted means that the service no longer keeps the changes that a watch requested.
+var ErrCompacted = errors.New("key-value service: revision compacted")
 
-// LeaseID names a lease; zero is none.
+// LeaseID names a lease; zero means none.
 type LeaseID int64
 
 // Entry is a key with its value.
 type Entry struct {
 	Key   string
 	Value []byte
-	// Revision is that of the entry's last write; zero where the key is absent.
+	// Revision is that of the entry's last write; zero if the key is absent.
 	Revision ident.Revision
 	Lease    LeaseID
 }
 
-// Compare asks that a key still has the revision of its last write that the
-// caller read. Revision zero asks that the key is absent.
+// Compare requires that a key's last write has Revision. Zero requires that the key is
+// absent.
 type Compare struct {
 	Key      string
 	Revision ident.Revision
 }
 
-// Put writes a value. A put under a lease goes when the lease lapses.
+// Put writes a value. With a lease, the key is deleted when the lease ends.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Swap writes and deletes all at once, or nothing where a compare fails.
+// Swap is a transaction: it applies all puts and deletes, or none if a compare fails.
 type Swap struct {
 	Compares []Compare
 	Puts     []Put
 	Deletes  []string
 }
 
-// SwapResult tells what a swap did.
+// SwapResult is the result of a swap.
 type SwapResult struct {
 	Swapped bool
-	// Revision is that of the whole service after the swap; what was put has it.
+	// Revision is the service's revision after the swap, which the keys put have too.
 	Revision ident.Revision
-	// Current has the compared keys as they stand, where the swap failed. A key
-	// that is absent has revision zero.
+	// Current has the current entries of the compared keys if a compare failed. An
+	// absent key has revision zero.
 	Current []Entry
 }
 
@@ -102,14 +101,14 @@
 	Revision ident.Revision
 }
 
-// Event is one change that a watch saw.
+// Event is one change that a watch delivers.
 type Event struct {
 	Entry   Entry
 	Deleted bool
 }
 
-// Batch is what a watch delivers at once. A batch without events is a sign of
-// life: nothing has changed up to Revision.
+// Batch has the changes that a watch delivers together. A batch without events is a
+// heartbeat: nothing more has changed up to Revision.
 type Batch struct {
 	Events   []Event
 	Revision ident.Revision
