--- a/internal/domain/document/document.go
+++ b/internal/domain/document/document.go
@@ -1,10 +1,10 @@
-// Package document has a team's document: the models, adapters, versions and
-// plain services that the team offers, which callers come first, which
-// requests may never be repeated, and the promised times.
+// Package document has a team's document: the models, adapters, versions and plain
+// services that the team offers, the order of its caller classes, the requests that
+// must not be repeated, and the promised latencies.
 //
-// A document is plain data and knows nothing of JSON: package
-// internal/config/teamdoc reads, checks and writes it. Values are shared
-// between goroutines once accepted and never change after that.
+// A document is plain data, independent of its JSON form: package
+// internal/config/teamdoc reads, checks and writes it. An accepted document is
+// immutable and shared between goroutines.
 //
 // # Usage
 //
@@ -26,53 +26,52 @@
 	Team     ident.TeamName
 	Models   []Model
 	Services []Service
-	// Classes are the caller classes, the first coming first.
+	// Classes are the caller classes, in order of priority.
 	Classes []Class
-	// DefaultClass takes callers that name no class.
+	// DefaultClass is the class of callers that name none.
 	DefaultClass ident.ClassName
 }
 
-// Model is a model that must always be reachable.
+// Model is a model that the team's callers must always be able to reach.
 type Model struct {
 	Name    ident.ModelName
 	Version ident.Version
-	// Memory is what one replica takes on a backend server.
+	// Memory is the memory that one replica uses on a backend server.
 	Memory unit.Bytes
-	// Replicas is the least number of replicas; placement may add more.
-	Replicas int
-	// MaxReplicas is the greatest number of replicas.
+	// Replicas is the minimum of replicas; placement may add more, up to MaxReplicas.
+	Replicas    int
 	MaxReplicas int
-	// MayRepeat tells that running a request twice does no harm.
+	// MayRepeat is set if running a request twice does no harm.
 	MayRepeat bool
 	Promise   Promise
 	Adapters  []Adapter
 }
 
-// Adapter is a small change to a model's weights, asked for as a model of its
-// own name.
+// Adapter is a small change to a model's weights. Callers request it by its own name,
+// like a model.
 type Adapter struct {
 	Name    ident.AdapterName
 	Version ident.Version
 	Memory  unit.Bytes
 }
 
-// Service is a plain service beside the engines.
+// Service is a plain service: one that runs on backend servers without models.
 type Service struct {
 	Name ident.ServiceName
-	// ForbidRepeat lists the HTTP methods whose requests may not be repeated.
+	// ForbidRepeat lists the HTTP methods whose requests must not be repeated.
 	ForbidRepeat []string
 	Promise      Promise
 }
 
-// Promise is the promised time of a model or service.
+// Promise is the promised latency of a model or service.
 type Promise struct {
-	// FirstToken is the time to the first token, or to a service's whole answer.
+	// FirstToken is the time to the first token, or to a service's complete response.
 	FirstToken time.Duration
 	// BetweenTokens is the time between two tokens; zero for services.
 	BetweenTokens time.Duration
 }
 
-// Between gives the promised time from the first token to the last of an answer.
+// Between returns the promised time from the first to the last token of an answer.
 func (p Promise) Between(tokens unit.Tokens) time.Duration {
 	return time.Duration(max(tokens-1, 0)) * p.BetweenTokens
 }
@@ -80,8 +79,8 @@
 // Class is a class of callers.
 type Class struct {
 	Name ident.ClassName
-	// Share is the part of the team's capacity, in percent, that the class
-	// keeps even when classes before it are busy.
+	// Share is the percentage of the team's capacity that the class keeps even when
+	// classes of higher priority are busy.
 	Share int
 }
 
@@ -105,7 +104,7 @@
 	return nil, false
 }
 
-// ForbidsRepeat tells whether requests of an HTTP method may not be repeated.
+// ForbidsRepeat reports whether requests of an HTTP method must not be repeated.
 func (s *Service) ForbidsRepeat(method string) bool {
 	for _, forbidden := range s.ForbidRepeat {
 		if forbidden == method {
