--- a/internal/domain/ident/ident.go
+++ b/internal/domain/ident/ident.go
@@ -1,16 +1,17 @@
-// Package ident names the things that the system tells apart.
+// Package ident has the types of all identifiers: of hosts, servers, models, requests
+// and so on.
 //
-// Every id is a type of its own, so that the compiler refuses a model name
-// where a backend server's name belongs. The zero value of each means "none".
+// Each is a type of its own, so that the compiler rejects a model name where a
+// backend server's name belongs. The zero value of each means "none".
 //
 // # Usage
 //
 //	server := ident.ServerName("brest-a-gpu-03")
 //	request := ident.NewRequestID()
 //
-// Ids that are made here (requests, attempts, edits) carry 128 random bits and
-// are unique over the fleet without coordination. All others come from
-// settings, documents or the platform's host list and are compared as bytes.
+// The ids that this package generates (requests, attempts, edits, incarnations) have
+// 128 random bits and are unique over all hosts without coordination. All others come
+// from settings, documents or the platform's host list and are compared as bytes.
 package ident
 
 import (
@@ -18,7 +19,7 @@
 	"encoding/hex"
 )
 
-// HostID names an entry host: one process of ours, from its settings.
+// HostID names an entry host, from its settings.
 type HostID string
 
 // DataCentre names a data centre, from settings and the host list.
@@ -45,66 +46,68 @@
 // ClassName names a class of callers in a team's document.
 type ClassName string
 
-// CallerName names a caller, as the caller says it in its request.
+// CallerName names a caller, as stated in its request.
 type CallerName string
 
 // ServerName names a backend server, from the platform's host list.
 type ServerName string
 
-// Incarnation names one life of a backend server's process. It changes at each
-// restart, so that an answer or report of an earlier life can be told apart.
+// Incarnation names one run of a backend server's process. It changes at each restart,
+// so that answers and reports of an earlier run can be recognized.
 type Incarnation string
 
 // RequestID names one request of a caller over all its attempts.
 type RequestID string
 
-// AttemptID names one try of a request at one backend server.
+// AttemptID names one attempt of a request at one backend server.
 type AttemptID string
 
 // OrderID names one order to a model engine.
 type OrderID string
 
-// EditID names one edit of a document. It resolves a swap whose answer was lost.
+// EditID names one edit of a document. By it a host finds out whether a swap whose
+// answer was lost took effect.
 type EditID string
 
-// IdempotencyKey is what a caller sends to mark repeats of one request.
+// IdempotencyKey is sent by a caller to mark repeats of one request.
 type IdempotencyKey string
 
-// Fingerprint is a hash of a request's content. It finds a request again that
-// its caller sends under a new id.
+// Fingerprint is a hash of a request's content. It identifies a request that its
+// caller sends again under a new id.
 type Fingerprint uint64
 
-// FleetID tells hosts of one key-value service from those of another; 0 while a host
-// has not reached it yet.
+// FleetID is the cluster id of the key-value service that a host uses; 0 until the host
+// has reached the service. Hosts with different ids belong to different fleets.
 type FleetID uint64
 
-// Revision orders the states of the platform's key-value service. It only grows.
+// Revision is a revision of the platform's key-value service; it only increases.
 type Revision int64
 
-// FencingNumber orders leaders. An engine that checks it refuses a smaller one.
+// FencingNumber increases with each leader. An engine that checks it refuses orders
+// with a smaller number than the greatest it has seen.
 type FencingNumber int64
 
-// NewRequestID returns an id that no other request has.
+// NewRequestID returns a new random id.
 func NewRequestID() RequestID {
-	return RequestID(random("req-"))
+	return RequestID(newRandomID("req-"))
 }
 
-// NewAttemptID returns an id that no other attempt has.
+// NewAttemptID returns a new random id.
 func NewAttemptID() AttemptID {
-	return AttemptID(random("att-"))
+	return AttemptID(newRandomID("att-"))
 }
 
-// NewEditID returns an id that no other edit has.
+// NewEditID returns a new random id.
 func NewEditID() EditID {
-	return EditID(random("edit-"))
+	return EditID(newRandomID("edit-"))
 }
 
-// NewIncarnation returns an id that no other life of a server has.
+// NewIncarnation returns a new random id.
 func NewIncarnation() Incarnation {
-	return Incarnation(random("inc-"))
+	return Incarnation(newRandomID("inc-"))
 }
 
-func random(prefix string) string {
+func newRandomID(prefix string) string {
 	var bits [16]byte
 	// crypto/rand.Read never returns an error: it ends the program instead.
 	_, _ = rand.Read(bits[:])
