--- a/internal/domain/outcome/outcome.go
+++ b/internal/domain/outcome/outcome.go
@@ -1,44 +1,43 @@
-// Package outcome says whether a request was run, and makes sure that the
-// saying is true.
+// Package outcome derives whether a request was run from a record of its attempts.
 //
-// A refusal that says "not run" must be true even when hosts die, answers are
-// lost and orders arrive late. So nobody states an outcome: a Trail records
-// what happened to the request, and the outcome follows from the record. The
-// only way to NotRun is a Trail on which nothing was sent, or on which every
-// send was followed by the backend server's own refusal.
+// An error that reports "not run" must be true even when hosts crash, answers are lost
+// and messages arrive late. Therefore no code sets an outcome directly: a Trail records
+// what happened to the request, and the outcome is derived from the record. NotRun
+// results only if no attempt was sent, or if each attempt that was sent was refused by
+// its backend server or never got a connection.
 //
 // # Usage
 //
 //	var trail outcome.Trail
-//	trail.Sending(attempt)      // before the first byte leaves
-//	trail.Refused(attempt)      // the server said that it did not run it
-//	trail.Outcome()             // NotRun: the only send was refused
+//	trail.Sending(attempt)      // before the first byte is sent
+//	trail.Refused(attempt)      // the server reported that it did not run it
+//	trail.Outcome()             // NotRun: the only attempt was refused
 //
-// The zero Trail is a request of which nothing was sent. The zero Outcome is
-// MayHaveRun, the one that is always true.
+// The zero Trail is that of a request without attempts. The zero Outcome is
+// MayHaveRun, which claims nothing.
 //
-// A Trail belongs to the goroutine that serves the request.
+// A Trail is used by one goroutine, the one that serves the request.
 package outcome
 
 import "cicadaloom/internal/domain/ident"
 
-// Outcome says whether a request was run. It can't be built outside this
-// package other than as its zero value, MayHaveRun.
+// Outcome is whether a request was run. Other packages can create only its zero
+// value, MayHaveRun.
 type Outcome struct {
-	run run
+	state executionState
 }
 
-type run uint8
+type executionState uint8
 
 const (
-	mayHaveRun run = iota
+	mayHaveRun executionState = iota
 	notRun
 	ran
 )
 
-// String gives the word that callers read in an error's "run" field.
+// String returns the value that callers get in an error's "run" field.
 func (o Outcome) String() string {
-	switch o.run {
+	switch o.state {
 	case notRun:
 		return "NotRun"
 	case ran:
@@ -48,25 +47,25 @@
 	}
 }
 
-// IsNotRun tells whether the request provably was not run.
+// IsNotRun reports whether the request provably was not run.
 func (o Outcome) IsNotRun() bool {
-	return o.run == notRun
+	return o.state == notRun
 }
 
-// IsRan tells whether the request provably was run to its end.
+// IsRan reports whether the request provably was run to its end.
 func (o Outcome) IsRan() bool {
-	return o.run == ran
+	return o.state == ran
 }
 
-// Trail is the record of one request's way through this host.
+// Trail records the attempts of one request on this host.
 type Trail struct {
-	inDoubt  map[ident.AttemptID]struct{}
-	finished bool
-	claimed  bool
+	inDoubt    map[ident.AttemptID]struct{}
+	isFinished bool
+	isClaimed  bool
 }
 
-// Sending records that an attempt is about to leave. It must be called before
-// the first byte: after it, a crash of any party leaves the attempt in doubt.
+// Sending records that an attempt is about to be sent. It must be called before the
+// first byte is: from then on a crash of any party leaves the attempt in doubt.
 func (t *Trail) Sending(attempt ident.AttemptID) {
 	if t.inDoubt == nil {
 		t.inDoubt = make(map[ident.AttemptID]struct{})
@@ -74,38 +73,39 @@
 	t.inDoubt[attempt] = struct{}{}
 }
 
-// Refused records the proof that an attempt was not run: the backend server
-// itself said so, or no connection to it came about.
+// Refused records that an attempt provably was not run: the backend server itself
+// reported so, or no connection to it was established.
 func (t *Trail) Refused(attempt ident.AttemptID) {
 	delete(t.inDoubt, attempt)
 }
 
-// Finished records that an attempt's whole answer, with its end mark, came back.
+// Finished records that an attempt's complete answer, with its end mark, was received.
+// An attempt that isn't in doubt is ignored.
 func (t *Trail) Finished(attempt ident.AttemptID) {
-	if _, sent := t.inDoubt[attempt]; sent {
-		t.finished = true
+	if _, isInDoubt := t.inDoubt[attempt]; isInDoubt {
+		t.isFinished = true
 	}
 }
 
-// FoundClaimed records that another attempt at this request holds its claim,
-// so that it may be running elsewhere.
+// FoundClaimed records that another attempt at this request holds its claim, so that
+// the request may be running elsewhere.
 func (t *Trail) FoundClaimed() {
-	t.claimed = true
+	t.isClaimed = true
 }
 
-// FoundFinished records that the claims show the request run to its end.
+// FoundFinished records that, by its claim, the request has run to its end.
 func (t *Trail) FoundFinished() {
-	t.finished = true
+	t.isFinished = true
 }
 
-// Outcome gives what the record proves.
+// Outcome returns the outcome that the record proves.
 func (t *Trail) Outcome() Outcome {
 	switch {
-	case t.finished:
-		return Outcome{run: ran}
-	case t.claimed || len(t.inDoubt) > 0:
-		return Outcome{run: mayHaveRun}
+	case t.isFinished:
+		return Outcome{state: ran}
+	case t.isClaimed || len(t.inDoubt) > 0:
+		return Outcome{state: mayHaveRun}
 	default:
-		return Outcome{run: notRun}
+		return Outcome{state: notRun}
 	}
 }
--- a/internal/domain/outcome/outcome_test.go
+++ b/internal/domain/outcome/outcome_test.go
@@ -9,16 +9,16 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Nobody has to think of an outcome for it to be a true one.
-func TestZeroValues(t *testing.T) {
-	var nothing Outcome
-	require.Equal(t, "MayHaveRun", nothing.String())
-	var untouched Trail
-	require.True(t, untouched.Outcome().IsNotRun())
+// An Outcome or Trail that was never set must not claim more than is known.
+func TestZeroValuesAreSafe(t *testing.T) {
+	var outcome Outcome
+	require.Equal(t, "MayHaveRun", outcome.String())
+	var trail Trail
+	require.True(t, trail.Outcome().IsNotRun())
 }
 
-// A server's refusal comes for an attempt that was never sent, or twice, or
-// after the answer: none of it may turn a request that ran into one that didn't.
+// A refusal arrives for an attempt that was never sent, or after the answer, or an
+// answer after the refusal. None of these may turn a request that ran into NotRun.
 func TestRefusalsProveOnlyTheirOwnAttempt(t *testing.T) {
 	var trail Trail
 	trail.Sending("a")
@@ -34,35 +34,35 @@
 	require.Equal(t, "Ran", trail.Outcome().String())
 }
 
-// Whatever comes in whatever order: NotRun is said only where each attempt that
-// was sent was refused, no other holds the claim, and nothing was finished.
-func TestNotRunIsAlwaysTrue(t *testing.T) {
+// In any order of events, the outcome is NotRun only if each attempt that was sent was
+// refused, no other attempt holds the claim, and none was finished.
+func TestNotRunIsNeverFalse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var trail Trail
-		open := make(map[ident.AttemptID]bool)
-		ran, claimed := false, false
+		inDoubt := make(map[ident.AttemptID]bool)
+		isFinished, isClaimed := false, false
 		attempts := rapid.SampledFrom([]ident.AttemptID{"a", "b", "c"})
 		for range rapid.IntRange(0, 20).Draw(t, "events") {
 			attempt := attempts.Draw(t, "attempt")
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				trail.Sending(attempt)
-				open[attempt] = true
+				inDoubt[attempt] = true
 			case 1:
 				trail.Refused(attempt)
-				delete(open, attempt)
+				delete(inDoubt, attempt)
 			case 2:
 				trail.Finished(attempt)
-				ran = ran || open[attempt]
+				isFinished = isFinished || inDoubt[attempt]
 			case 3:
 				trail.FoundClaimed()
-				claimed = true
+				isClaimed = true
 			case 4:
 				trail.FoundFinished()
-				ran = true
+				isFinished = true
 			}
-			require.Equal(t, !ran && !claimed && len(open) == 0, trail.Outcome().IsNotRun())
-			require.Equal(t, ran, trail.Outcome().IsRan())
+			require.Equal(t, !isFinished && !isClaimed && len(inDoubt) == 0, trail.Outcome().IsNotRun())
+			require.Equal(t, isFinished, trail.Outcome().IsRan())
 		}
 	})
 }
