--- a/internal/domain/request/request.go
+++ b/internal/domain/request/request.go
@@ -1,12 +1,13 @@
-// Package request has a client's request as an entry host sees it: opaque but
-// for what is needed to choose a backend server and to keep its promises.
+// Package request has a client's request as an entry host handles it: opaque except
+// for the parts by which the host chooses a backend server and meets the deadline and
+// the rules on repeats.
 //
 // # Usage
 //
 //	if now.After(r.Deadline) {
-//		// nobody waits any more
+//		// the client has stopped waiting
 //	}
-//	key := r.Weights() // what a model server must hold to answer it
+//	key := r.Weights() // the weights that a model server needs to answer it
 package request
 
 import (
@@ -19,49 +20,51 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// Request is one request of a client, read in full.
+// Request is one request of a client, with its complete body once that has been read.
 type Request struct {
 	ID     ident.RequestID
 	Method string
-	// Target is the request line's target as it came, never cleaned.
+	// Target is the request line's target as received, without normalization.
 	Target string
 	Path   string
 	Host   string
-	// Header has what may be passed on: nothing that concerns one connection
-	// only, and nothing that is the system's to set.
+	// Header has the headers that may be forwarded: no hop-by-hop headers, and none
+	// that only the entry host may set.
 	Header http.Header
 	Body   []byte
-	// ResumeAfter is the last event that the client has, empty for a new stream.
+	// ResumeAfter is the id of the last event that the client received; empty for a
+	// new stream.
 	ResumeAfter string
 
 	Arrived time.Time
-	// Deadline is when the client stops waiting; zero if it doesn't say.
+	// Deadline is when the client stops waiting; zero if it gave none.
 	Deadline time.Time
 
 	Model   ident.ModelName
 	Adapter ident.AdapterName // empty for the model itself
-	Prompt  unit.Tokens
-	// MaxOutput is the most that may be generated, LikelyOutput the client's
-	// estimate; zero if it doesn't say.
+	// Prompt is the length of the prompt, as the client gave it.
+	Prompt unit.Tokens
+	// MaxOutput is the maximum to generate, LikelyOutput the client's estimate; zero
+	// if it gave none.
 	MaxOutput    unit.Tokens
 	LikelyOutput unit.Tokens
 	Parts        []Part
 }
 
-// Part is a piece of a prompt that other requests may share. A part is cached
-// only where all parts before it are.
+// Part is a part of a prompt that other requests may have too. An engine can have a
+// part in its cache only together with all parts before it.
 type Part struct {
 	ID     uint64
 	Tokens unit.Tokens
 }
 
-// Weights names what a model server must hold to answer a request.
+// Weights names the weights that a model server needs to answer a request.
 type Weights struct {
 	Model   ident.ModelName
 	Adapter ident.AdapterName
 }
 
-// Weights gives what a model server must hold to answer the request.
+// Weights returns the weights that a model server needs to answer the request.
 func (r *Request) Weights() Weights {
 	return Weights{
 		Model:   r.Model,
@@ -69,12 +72,12 @@
 	}
 }
 
-// Fingerprint finds a request again that comes under a new id: by its method,
-// host, target, model and body.
+// Fingerprint returns a hash of the method, host, target, model, adapter and body. It
+// identifies a request that is sent again under a new id.
 func (r *Request) Fingerprint() ident.Fingerprint {
 	digest := xxhash.New()
 	for _, part := range []string{r.Method, r.Host, r.Target, string(r.Model), string(r.Adapter)} {
-		_, _ = digest.WriteString(part) // a digest takes everything
+		_, _ = digest.WriteString(part) // a digest's writes never fail
 		_, _ = digest.Write([]byte{0})
 	}
 	_, _ = digest.Write(r.Body)
