--- a/internal/domain/route/route.go
+++ b/internal/domain/route/route.go
@@ -1,6 +1,6 @@
-// Package route has the configuration of an entry host: which requests go to
-// which service, what may be done with them, and what each service's servers
-// can hold.
+// Package route has the configuration of an entry host: which requests are routed to
+// which service, whether they may be repeated, and the capacity of each service's
+// servers.
 //
 // # Usage
 //
@@ -17,8 +17,8 @@
 //		}},
 //	}
 //
-// Lengths of time here are part of what an operator writes; requests carry the
-// instants that follow from them.
+// Times here are durations, as an operator writes them; a request has the points in
+// time that follow from them.
 package route
 
 import (
@@ -29,10 +29,10 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// Version orders configurations. It only grows; zero is none.
+// Version orders configurations. It only increases; zero means none.
 type Version int64
 
-// Kind says what may be repeated.
+// Kind is the kind of a route's requests, by which they may be repeated or not.
 type Kind string
 
 // The kinds of route.
@@ -41,12 +41,12 @@
 	Safe Kind = "Safe"
 	// Unsafe requests may run at most once.
 	Unsafe Kind = "Unsafe"
-	// Stream requests are answered by a series of events. They count as unsafe
-	// unless Route.Resumable.
+	// Stream requests are answered by a stream of events. They may run at most once
+	// unless Route.Resumable is set.
 	Stream Kind = "Stream"
 )
 
-// Configuration is everything that the operator declares.
+// Configuration is all that the operator configures.
 type Configuration struct {
 	Version  Version
 	Routes   []Route
@@ -54,77 +54,79 @@
 	Limits   Limits
 }
 
-// Route says what happens with the requests of one host below one path.
+// Route is the handling of the requests for one host name and path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Resumable tells that a stream may go on at another server.
+	// Resumable is set if a stream may be continued by another server.
 	Resumable bool
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how many servers one request may be sent to.
+	// MaxAttempts is the maximum of servers that one request is sent to.
 	MaxAttempts int
-	// Timeout is how long a request may be kept waiting.
+	// Timeout is the maximum time that a request may wait.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event,
-	// is on time.
+	// Objective is the latency objective of a complete answer, or of a stream's first
+	// event.
 	Objective time.Duration
-	// Gap is the longest pause between a stream's events that is on time.
+	// Gap is the objective of the pause between two events of a stream.
 	Gap time.Duration
-	// Targets share the requests by weight.
+	// Targets receive the requests in proportion to their weights.
 	Targets []Target
 }
 
-// Target is one of the services that a route leads to.
+// Target is one of the services of a route.
 type Target struct {
 	Service ident.ServiceName
 	Weight  int
 }
 
-// MayRepeat tells whether a request may be sent again after it may have run.
+// MayRepeat reports whether a request may be sent again after an attempt that may have
+// run.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Service is a kind of backend server.
+// Service is the configuration of the backend servers that run one service.
 type Service struct {
 	Name       ident.ServiceName
 	HealthPath string
-	// MaxConnections is what one server accepts from all entry hosts together.
+	// MaxConnections is the number of connections that one server accepts, over all
+	// entry hosts.
 	MaxConnections int
-	// Engine is set for services whose servers hold models.
+	// Engine is set for services whose servers serve models.
 	Engine *Engine
 }
 
-// Engine says what one model server can hold and do.
+// Engine is the capacity of one model server, and the models that it may load.
 type Engine struct {
 	Slots         int
-	CacheTokens   unit.Tokens // shared by running requests and kept prompts
+	CacheTokens   unit.Tokens // of the KV cache, for running requests and cached prompts
 	Memory        unit.Bytes  // of the accelerator, for models and adapters
 	HostMemory    unit.Bytes  // for copies of weights
 	Disk          unit.Bytes  // for copies of weights
 	AdapterPlaces int
-	// LoadsPerSecond is what the weight store allows over all servers.
+	// LoadsPerSecond is the load rate that the weight store allows over all servers.
 	LoadsPerSecond float64
 	Models         []Model
 }
 
-// Model is one declared model with its adapters.
+// Model is one configured model with its adapters.
 type Model struct {
 	Name          ident.ModelName
 	Memory        unit.Bytes
 	Adapters      []ident.AdapterName
 	AdapterMemory unit.Bytes
-	// LoadTime, DiskTime and WarmTime are how long a load takes from the weight
-	// store, the server's disk and the server's host memory.
+	// LoadTime, DiskTime and WarmTime are the durations of a load from the weight
+	// store, from the server's disk and from the server's host memory.
 	LoadTime time.Duration
 	DiskTime time.Duration
 	WarmTime time.Duration
 }
 
-// Declares tells whether the engines may be asked for a model, or for an adapter of it.
+// Declares reports whether a model, or an adapter of it, is configured for the engines.
 func (e *Engine) Declares(model ident.ModelName, adapter ident.AdapterName) bool {
 	for i := range e.Models {
 		if e.Models[i].Name == model {
@@ -134,7 +136,8 @@
 	return false
 }
 
-// Limits bound what a client may send.
+// Limits bound the size of a client's request, and how long a client may take to send a
+// header or leave its connection idle.
 type Limits struct {
 	MaxHeader     unit.Bytes
 	MaxBody       unit.Bytes
