--- a/internal/domain/splitmix/splitmix.go
+++ b/internal/domain/splitmix/splitmix.go
@@ -1,5 +1,5 @@
-// Package splitmix turns numbers into random bits, for choices that must come out the same
-// wherever they are made.
+// Package splitmix hashes numbers to pseudorandom bits, for choices that must have the
+// same result on every host.
 //
 // # Usage
 //
