--- a/internal/domain/unit/unit.go
+++ b/internal/domain/unit/unit.go
@@ -1,5 +1,5 @@
-// Package unit has named types for amounts, so that fields need no unit in
-// their names.
+// Package unit has types for amounts of bytes and tokens, so that fields need no unit
+// in their names.
 //
 // # Usage
 //
@@ -20,7 +20,7 @@
 	Gibibyte Bytes = 1024 * Mebibyte
 )
 
-// String gives the amount in the largest unit that it fills.
+// String formats the amount in the largest unit of which it has at least one.
 func (b Bytes) String() string {
 	switch {
 	case b >= Gibibyte:
