--- a/internal/standin/etcd/admin.go
+++ b/internal/standin/etcd/admin.go
@@ -10,10 +10,10 @@
 	"github.com/uptrace/bunrouter"
 )
 
-// adminBodyLimit bounds a request to the fault switches.
-const adminBodyLimit = 64 << 10
+// maxAdminBodyBytes bounds the body of a POST to the admin handler.
+const maxAdminBodyBytes = 64 << 10
 
-// faultsWire is Faults as JSON; lengths of time are like "250ms".
+// faultsWire is the JSON form of Faults. Durations are strings such as "250ms".
 type faultsWire struct {
 	Down          bool
 	Slow          string
@@ -23,15 +23,16 @@
 	SilentWatches bool
 }
 
-// FaultsHandler serves the fault switches: POST /faults replaces all faults by
-// those of its JSON body, GET /faults returns them, GET /stats returns Stats.
+// FaultsHandler returns the admin handler: POST /faults replaces all faults with
+// the JSON in its body, GET /faults returns the active faults, GET /stats returns
+// Stats.
 func (s *Server) FaultsHandler() http.Handler {
 	router := bunrouter.New()
 	router.GET("/faults", func(w http.ResponseWriter, _ bunrouter.Request) error {
 		return bunrouter.JSON(w, encodeFaults(s.Faults()))
 	})
 	router.POST("/faults", func(w http.ResponseWriter, request bunrouter.Request) error {
-		faults, err := decodeFaults(http.MaxBytesReader(w, request.Body, adminBodyLimit))
+		faults, err := decodeFaults(http.MaxBytesReader(w, request.Body, maxAdminBodyBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return nil
@@ -63,11 +64,11 @@
 	if err := decoder.Decode(&wire); err != nil {
 		return Faults{}, errors.Wrap(err, "faults")
 	}
-	slow, err := decodeLength("Slow", wire.Slow)
+	slow, err := decodeDuration("Slow", wire.Slow)
 	if err != nil {
 		return Faults{}, err
 	}
-	maxDelay, err := decodeLength("MaxDelay", wire.MaxDelay)
+	maxDelay, err := decodeDuration("MaxDelay", wire.MaxDelay)
 	if err != nil {
 		return Faults{}, err
 	}
@@ -81,16 +82,16 @@
 	}, nil
 }
 
-func decodeLength(field, text string) (time.Duration, error) {
+func decodeDuration(field, text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
-	length, err := time.ParseDuration(text)
+	duration, err := time.ParseDuration(text)
 	if err != nil {
 		return 0, errors.Wrapf(err, "faults: %s", field)
 	}
-	if length < 0 {
+	if duration < 0 {
 		return 0, errors.Errorf("faults: %s: %s is negative", field, text)
 	}
-	return length, nil
+	return duration, nil
 }
--- a/internal/standin/etcd/call.go
+++ b/internal/standin/etcd/call.go
@@ -8,11 +8,12 @@
 	"google.golang.org/grpc/status"
 )
 
-// kind is what a call asks for.
-type kind int
+// callKind is the kind of a call, by which calls are counted and charged to a
+// quota.
+type callKind int
 
 const (
-	kindRange kind = iota
+	kindRange callKind = iota
 	kindPut
 	kindDelete
 	kindTxn
@@ -22,10 +23,10 @@
 	kindKeepAlive
 	kindWatch
 	kindProgress
-	kinds
+	kindCount
 )
 
-func (k kind) writes() bool {
+func (k callKind) writes() bool {
 	switch k {
 	case kindPut, kindDelete, kindTxn, kindGrant, kindRevoke, kindKeepAlive:
 		return true
@@ -34,27 +35,28 @@
 }
 
 var (
-	errDown         = status.Error(codes.Unavailable, "etcdserver: no leader")
-	errAnswerLost   = status.Error(codes.Unavailable, "connection lost before the answer")
-	errStopping     = status.Error(codes.Unavailable, "etcdserver: server stopped")
-	errOverQuota    = status.Error(codes.ResourceExhausted, "etcdserver: too many requests")
-	errNoLease      = status.Error(codes.NotFound, "etcdserver: requested lease not found")
-	errLeaseExists  = status.Error(codes.FailedPrecondition, "etcdserver: lease already exists")
-	errTooLarge     = status.Error(codes.InvalidArgument, "etcdserver: request is too large")
-	errEmptyKey     = status.Error(codes.InvalidArgument, "etcdserver: key is not provided")
-	errDuplicateKey = status.Error(codes.InvalidArgument, "etcdserver: duplicate key given in txn request")
-	errTooManyOps   = status.Error(codes.InvalidArgument, "etcdserver: too many operations in txn request")
-	errBadSort      = status.Error(codes.InvalidArgument, "stand-in: only sorting by key, ascending, is served")
-	errBadCompare   = status.Error(codes.InvalidArgument, "stand-in: compare without a matching target")
-	errCompacted    = status.Error(codes.OutOfRange, "etcdserver: mvcc: required revision has been compacted")
-	errFuture       = status.Error(codes.OutOfRange, "etcdserver: mvcc: required revision is a future revision")
+	errDown           = status.Error(codes.Unavailable, "etcdserver: no leader")
+	errAnswerLost     = status.Error(codes.Unavailable, "connection lost before the answer")
+	errStopping       = status.Error(codes.Unavailable, "etcdserver: server stopped")
+	errQuotaExceeded  = status.Error(codes.ResourceExhausted, "etcdserver: too many requests")
+	errNoLease        = status.Error(codes.NotFound, "etcdserver: requested lease not found")
+	errLeaseExists    = status.Error(codes.FailedPrecondition, "etcdserver: lease already exists")
+	errTooLarge       = status.Error(codes.InvalidArgument, "etcdserver: request is too large")
+	errEmptyKey       = status.Error(codes.InvalidArgument, "etcdserver: key is not provided")
+	errDuplicateKey   = status.Error(codes.InvalidArgument, "etcdserver: duplicate key given in txn request")
+	errTooManyOps     = status.Error(codes.InvalidArgument, "etcdserver: too many operations in txn request")
+	errBadSort        = status.Error(codes.InvalidArgument, "stand-in: only sorting by key, ascending, is served")
+	errBadCompare     = status.Error(codes.InvalidArgument, "stand-in: compare without a matching target")
+	errCompacted      = status.Error(codes.OutOfRange, "etcdserver: mvcc: required revision has been compacted")
+	errFutureRevision = status.Error(codes.OutOfRange, "etcdserver: mvcc: required revision is a future revision")
 )
 
-// effect tells whether a call changed anything.
+// effect reports whether a call changed any state.
 type effect bool
 
-// call runs one call through quota, delay and faults.
-func (s *Server) call(ctx context.Context, kind kind, execute func(*state, time.Time) (effect, error)) error {
+// call runs execute with the server's state, after the quota check, the configured
+// delay and the fault checks. It applies the LoseAnswers fault to the result.
+func (s *Server) call(ctx context.Context, kind callKind, execute func(*state, time.Time) (effect, error)) error {
 	delay, err := s.admit(kind)
 	if err != nil {
 		return err
@@ -64,14 +66,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.Down {
+	if s.activeFaults.Down {
 		return errDown
 	}
-	s.catchUp()
+	s.applyElapsedTime()
 	revision := s.state.revision
 	changed, err := execute(s.state, s.options.Now())
 	if s.state.revision != revision {
-		s.wake()
+		s.notifyWatches()
 	}
 	if err != nil {
 		return err
@@ -79,53 +81,55 @@
 	return s.loseAnswer(changed)
 }
 
-// admit counts a call, refuses it where the quota is used up, and says how long
-// it is to be delayed.
-func (s *Server) admit(kind kind) (time.Duration, error) {
+// admit counts a call and charges it to its quota. It returns the delay of the
+// call, or an error if the service is down or the quota is used up.
+func (s *Server) admit(kind callKind) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stats.calls[kind]++
-	if s.faults.Down {
+	s.counters.calls[kind]++
+	if s.activeFaults.Down {
 		return 0, errDown
 	}
 	now := s.options.Now()
-	s.chargeWaiting(now)
-	if !s.quotas.take(kind, now) {
-		s.stats.quotaRefusals++
-		return 0, errOverQuota
+	s.chargeWatches(now)
+	if !s.quotas.allow(kind, now) {
+		s.counters.quotaRefusals++
+		return 0, errQuotaExceeded
 	}
-	return s.delay(), nil
+	return s.drawDelay(), nil
 }
 
-// wait delays a call. A write whose client has given up is executed all the
-// same when its time comes, as by a slow service that had taken it already: a
-// client that timed out must not conclude that nothing happens any more.
-func (s *Server) wait(ctx context.Context, kind kind, delay time.Duration) error {
+// wait delays a call. A write is executed after the delay even if its client has
+// cancelled it, as a slow service does with a request that it has already
+// received: a client must not conclude from a timeout that its write has no
+// effect.
+func (s *Server) wait(ctx context.Context, kind callKind, delay time.Duration) error {
 	if delay == 0 {
 		return nil
 	}
-	gone := ctx.Done()
+	cancelled := ctx.Done()
 	if kind.writes() {
-		gone = nil
+		cancelled = nil
 	}
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
-	case <-gone:
+	case <-cancelled:
 		return status.FromContextError(ctx.Err()).Err()
 	case <-s.dying():
 		return errStopping
 	}
 }
 
-// loseAnswer makes a call that took effect look as if its connection broke.
+// loseAnswer applies the LoseAnswers fault: a call that took effect fails as if
+// its connection had broken.
 func (s *Server) loseAnswer(changed effect) error {
-	if !changed || s.faults.LoseAnswers <= 0 {
+	if !changed || s.activeFaults.LoseAnswers <= 0 {
 		return nil
 	}
-	s.faults.LoseAnswers--
-	s.stats.answersLost++
+	s.activeFaults.LoseAnswers--
+	s.counters.answersLost++
 	return errAnswerLost
 }
--- a/internal/standin/etcd/faults.go
+++ b/internal/standin/etcd/faults.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Faults are what is wrong with the service. The zero value is none.
+// Faults are the failures that the service simulates. The zero value is none.
 type Faults struct {
-	// Down makes calls fail as Unavailable and breaks open watches.
+	// Down makes calls fail with Unavailable and breaks open watches.
 	Down bool
-	// Slow delays each call and each delivery of a watch. A write is executed
-	// after the delay, even if its client has given up by then.
+	// Slow delays each call and each delivery of watch events. A write is executed
+	// after the delay even if its client has cancelled it by then.
 	Slow time.Duration
-	// MaxDelay above Slow makes the delay random between the two.
+	// MaxDelay, if larger than Slow, makes the delay random between Slow and
+	// MaxDelay.
 	MaxDelay time.Duration
-	// LoseAnswers is how many of the next writes take effect and then fail as
-	// Unavailable. It counts down with writes that changed something, lease
-	// grants and revocations among them, keepalives not.
+	// LoseAnswers is the number of writes that take effect and then fail with
+	// Unavailable. It counts down with each write that changed something,
+	// including lease grants and revocations but not keepalives.
 	LoseAnswers int
-	// LapseLeases lets all leases lapse at once when it is set. It is never read
-	// back as true.
+	// LapseLeases expires all leases once, when it is set. Faults always returns
+	// it as false.
 	LapseLeases bool
-	// SilentWatches keeps watches open without events or progress. What was
-	// held back is delivered when the fault is taken away.
+	// SilentWatches keeps watches open but sends no events and no progress. Events
+	// held back are delivered when the fault is cleared.
 	SilentWatches bool
 }
 
@@ -29,24 +30,24 @@
 	defer s.mu.Unlock()
 	if faults.LapseLeases {
 		faults.LapseLeases = false
-		s.state.lapseAll()
+		s.state.expireAllLeases()
 	}
-	s.faults = faults
-	s.wake()
+	s.activeFaults = faults
+	s.notifyWatches()
 }
 
-// Faults returns the faults as they stand, with the answers still to be lost.
+// Faults returns the active faults; LoseAnswers is the number that remains.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults
+	return s.activeFaults
 }
 
-// delay draws the delay of one call. The caller holds the lock.
-func (s *Server) delay() time.Duration {
-	spread := s.faults.MaxDelay - s.faults.Slow
+// drawDelay returns the delay of one call. The caller holds the lock.
+func (s *Server) drawDelay() time.Duration {
+	spread := s.activeFaults.MaxDelay - s.activeFaults.Slow
 	if spread <= 0 {
-		return s.faults.Slow
+		return s.activeFaults.Slow
 	}
-	return s.faults.Slow + time.Duration(s.random.Int64N(int64(spread)+1))
+	return s.activeFaults.Slow + time.Duration(s.random.Int64N(int64(spread)+1))
 }
--- a/internal/standin/etcd/faults_test.go
+++ b/internal/standin/etcd/faults_test.go
@@ -37,32 +37,32 @@
 	require.Contains(t, request(server, http.MethodGet, "/stats", "").Body.String(), `"Puts":0`)
 }
 
-func TestDelayIsDrawnBetweenItsBounds(t *testing.T) {
+func TestDelayStaysWithinBounds(t *testing.T) {
 	server := New(Options{})
 	server.SetFaults(Faults{
 		Slow:     10 * time.Millisecond,
 		MaxDelay: 12 * time.Millisecond,
 	})
 	for range 50 {
-		require.InDelta(t, 11*time.Millisecond, server.delay(), float64(time.Millisecond))
+		require.InDelta(t, 11*time.Millisecond, server.drawDelay(), float64(time.Millisecond))
 	}
 }
 
-func TestPutWithoutLeaseTakesTheKeyOffIt(t *testing.T) {
+func TestPutWithoutLeaseDetachesKeyFromLease(t *testing.T) {
 	s := newState(DefaultHistory, DefaultValueLimit)
-	lease, err := s.grant(0, time.Second, time.Time{})
+	lease, err := s.grantLease(0, time.Second, time.Time{})
 	require.NoError(t, err)
 	leased := putOp("a", "1")
 	leased.GetRequestPut().Lease = lease
 	s.execute([]*pb.RequestOp{leased})
 	s.execute([]*pb.RequestOp{putOp("a", "2")})
-	require.False(t, s.lapse(time.Time{}.Add(time.Second-1)))
-	require.True(t, s.lapse(time.Time{}.Add(time.Second)))
+	require.False(t, s.expireLeases(time.Time{}.Add(time.Second-1)))
+	require.True(t, s.expireLeases(time.Time{}.Add(time.Second)))
 	require.Contains(t, s.keys, "a")
 }
 
-func TestSilentWatchCatchesUpAfterwards(t *testing.T) {
-	server, connection := start(t, Options{})
+func TestSilencedWatchDeliversHeldEvents(t *testing.T) {
+	server, connection := startServer(t, Options{})
 	stream := openWatch(t, connection, 0)
 	_, err := stream.Recv()
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 }
 
 func TestProgressNotifyAndCancel(t *testing.T) {
-	server, connection := start(t, Options{
+	server, connection := startServer(t, Options{
 		ProgressNotifyTime: time.Millisecond,
 	})
 	stream := openWatch(t, connection, 0)
@@ -114,7 +114,7 @@
 }
 
 func TestRestartKeepsContents(t *testing.T) {
-	server, connection := start(t, Options{})
+	server, connection := startServer(t, Options{})
 	put(t, connection, "a", "1", 0)
 	require.NoError(t, server.Stop())
 	require.NoError(t, server.Stop())
@@ -122,13 +122,13 @@
 	require.NoError(t, err)
 	_, err = server.Start(address.String())
 	require.Error(t, err)
-	require.Len(t, server.state.find(keyRange{
+	require.Len(t, server.state.findRange(keyRange{
 		key: "a",
 	}), 1)
 }
 
 func TestCompactedWatchIsCanceled(t *testing.T) {
-	_, connection := start(t, Options{
+	_, connection := startServer(t, Options{
 		History: 2,
 	})
 	for _, value := range []string{"1", "2", "3"} {
--- a/internal/standin/etcd/history.go
+++ b/internal/standin/etcd/history.go
@@ -9,12 +9,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// history keeps the newest events, in order, for watches that lag.
+// history keeps the newest events, in order of revision, for watches that lag.
 type history struct {
-	limit     int
-	events    []*mvccpb.Event
-	size      unit.Bytes
-	compacted int64 // the oldest revision that a watch may start from
+	maxEvents       int
+	events          []*mvccpb.Event
+	size            unit.Bytes
+	compactRevision int64 // oldest revision that a watch may start from
 }
 
 func (h *history) add(event *mvccpb.Event) {
@@ -22,15 +22,15 @@
 	h.size += eventSize(event)
 }
 
-// trim drops the oldest events beyond the bounds, by whole revisions: half a
-// revision would show a watcher half of a transaction. The newest revision
-// always stays, so that a watch that waits gets it.
+// trim drops the oldest events beyond the limits, in whole revisions: part of a
+// revision would show a watcher half of a transaction. The newest revision is
+// always kept, so that a waiting watch receives it.
 func (h *history) trim() {
 	if len(h.events) == 0 {
 		return
 	}
 	newest := h.events[len(h.events)-1].Kv.ModRevision
-	for len(h.events) > h.limit || h.size > historyBytes {
+	for len(h.events) > h.maxEvents || h.size > maxHistoryBytes {
 		oldest := h.events[0].Kv.ModRevision
 		if oldest == newest {
 			return
@@ -39,18 +39,18 @@
 			h.size -= eventSize(h.events[0])
 			h.events = h.events[1:]
 		}
-		h.compacted = oldest + 1
+		h.compactRevision = oldest + 1
 	}
 }
 
-// since returns the events of a range from a revision on.
-func (h *history) since(revision int64, r keyRange) []*mvccpb.Event {
+// eventsSince returns the events of a key range, starting with the given revision.
+func (h *history) eventsSince(revision int64, r keyRange) []*mvccpb.Event {
 	first := sort.Search(len(h.events), func(i int) bool {
 		return h.events[i].Kv.ModRevision >= revision
 	})
 	var found []*mvccpb.Event
 	for _, event := range h.events[first:] {
-		if r.has(string(event.Kv.Key)) {
+		if r.contains(string(event.Kv.Key)) {
 			found = append(found, event)
 		}
 	}
--- a/internal/standin/etcd/json.go
+++ b/internal/standin/etcd/json.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// SetJSON replaces all faults by those in the JSON, as POST /faults does.
+// SetJSON replaces all faults with those in the JSON, as POST /faults does.
 func (s *Server) SetJSON(from io.Reader) error {
 	faults, err := decodeFaults(from)
 	if err != nil {
--- a/internal/standin/etcd/kv.go
+++ b/internal/standin/etcd/kv.go
@@ -8,13 +8,13 @@
 	"cicadaloom/internal/wire/mvccpb"
 )
 
-// kvService serves reads and writes.
+// kvService implements the KV gRPC service.
 type kvService struct {
 	pb.UnimplementedKVServer
 	server *Server
 }
 
-// Range reads a key or a range of keys.
+// Range returns a key or a range of keys.
 func (k kvService) Range(ctx context.Context, request *pb.RangeRequest) (*pb.RangeResponse, error) {
 	var response *pb.RangeResponse
 	err := k.server.call(ctx, kindRange, func(s *state, _ time.Time) (effect, error) {
@@ -33,7 +33,7 @@
 
 // Put writes one key.
 func (k kvService) Put(ctx context.Context, request *pb.PutRequest) (*pb.PutResponse, error) {
-	response, err := k.one(ctx, kindPut, &pb.RequestOp{
+	response, err := k.runOperation(ctx, kindPut, &pb.RequestOp{
 		Request: &pb.RequestOp_RequestPut{
 			RequestPut: request,
 		},
@@ -48,7 +48,7 @@
 
 // DeleteRange deletes a key or a range of keys.
 func (k kvService) DeleteRange(ctx context.Context, request *pb.DeleteRangeRequest) (*pb.DeleteRangeResponse, error) {
-	response, err := k.one(ctx, kindDelete, &pb.RequestOp{
+	response, err := k.runOperation(ctx, kindDelete, &pb.RequestOp{
 		Request: &pb.RequestOp_RequestDeleteRange{
 			RequestDeleteRange: request,
 		},
@@ -61,26 +61,27 @@
 	return deleted, nil
 }
 
-// Txn compares, then executes one of two lists of operations as a whole.
+// Txn evaluates the compares, then executes one of two lists of operations
+// atomically.
 func (k kvService) Txn(ctx context.Context, request *pb.TxnRequest) (*pb.TxnResponse, error) {
-	if !anyWrite(request.Success) && !anyWrite(request.Failure) {
+	if !hasWrite(request.Success) && !hasWrite(request.Failure) {
 		return k.txn(ctx, kindReadTxn, request)
 	}
 	return k.txn(ctx, kindTxn, request)
 }
 
-func (k kvService) one(ctx context.Context, kind kind, operation *pb.RequestOp) (*pb.TxnResponse, error) {
+func (k kvService) runOperation(ctx context.Context, kind callKind, operation *pb.RequestOp) (*pb.TxnResponse, error) {
 	return k.txn(ctx, kind, &pb.TxnRequest{
 		Success: []*pb.RequestOp{operation},
 	})
 }
 
-func (k kvService) txn(ctx context.Context, kind kind, request *pb.TxnRequest) (*pb.TxnResponse, error) {
+func (k kvService) txn(ctx context.Context, kind callKind, request *pb.TxnRequest) (*pb.TxnResponse, error) {
 	var response *pb.TxnResponse
 	err := k.server.call(ctx, kind, func(s *state, _ time.Time) (effect, error) {
 		revision := s.revision
-		done, err := s.txn(request)
-		response = done
+		executed, err := s.txn(request)
+		response = executed
 		return s.revision != revision, err
 	})
 	if err != nil {
@@ -96,7 +97,7 @@
 	case request.SortOrder == pb.RangeRequest_DESCEND || request.SortTarget != pb.RangeRequest_KEY:
 		return errBadSort
 	case request.Revision > s.revision:
-		return errFuture
+		return errFutureRevision
 	case request.Revision > 0 && request.Revision < s.revision:
 		return errCompacted
 	}
@@ -104,7 +105,7 @@
 }
 
 func (s *state) rangeKeys(request *pb.RangeRequest) *pb.RangeResponse {
-	found := s.find(newKeyRange(request.Key, request.RangeEnd))
+	found := s.findRange(newKeyRange(request.Key, request.RangeEnd))
 	response := &pb.RangeResponse{
 		Count: int64(len(found)),
 	}
--- a/internal/standin/etcd/kv_test.go
+++ b/internal/standin/etcd/kv_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestRevisionsAndVersions(t *testing.T) {
-	_, connection := start(t, Options{})
+	_, connection := startServer(t, Options{})
 	first := put(t, connection, "a", "1", 0)
 	second := put(t, connection, "a", "2", 0)
 	require.Equal(t, first.Header.Revision+1, second.Header.Revision)
@@ -60,7 +60,7 @@
 }
 
 func TestRangeLimitCountAndKeys(t *testing.T) {
-	_, connection := start(t, Options{})
+	_, connection := startServer(t, Options{})
 	for _, key := range []string{"p/b", "q", "p/a", "p/c"} {
 		put(t, connection, key, "value", 0)
 	}
@@ -78,8 +78,8 @@
 	require.EqualValues(t, 3, found.Count)
 }
 
-func TestBadRequestsHaveNoEffect(t *testing.T) {
-	server, connection := start(t, Options{})
+func TestRejectedTxnHasNoEffect(t *testing.T) {
+	server, connection := startServer(t, Options{})
 	client := pb.NewKVClient(connection)
 	many := make([]*pb.RequestOp, maxTxnOps+1)
 	for i := range many {
@@ -87,18 +87,18 @@
 	}
 	leased := putOp("a", "1")
 	leased.GetRequestPut().Lease = 77
-	refused := func(code codes.Code, operations ...*pb.RequestOp) {
+	requireRejected := func(code codes.Code, operations ...*pb.RequestOp) {
 		_, err := client.Txn(t.Context(), &pb.TxnRequest{
 			Success: operations,
 		})
 		require.Equal(t, code, status.Code(err), "%v", err)
 	}
-	refused(codes.InvalidArgument, putOp("a", "1"), putOp("a", "2"))
-	refused(codes.InvalidArgument, putOp("a", "1"), deleteOp("a"))
-	refused(codes.InvalidArgument, many...)
-	refused(codes.InvalidArgument, putOp("b", "1"), putOp("", "1"))
-	refused(codes.InvalidArgument, putOp("b", "1"), putOp("a", strings.Repeat("x", 1_000_001)))
-	refused(codes.NotFound, putOp("b", "1"), leased)
+	requireRejected(codes.InvalidArgument, putOp("a", "1"), putOp("a", "2"))
+	requireRejected(codes.InvalidArgument, putOp("a", "1"), deleteOp("a"))
+	requireRejected(codes.InvalidArgument, many...)
+	requireRejected(codes.InvalidArgument, putOp("b", "1"), putOp("", "1"))
+	requireRejected(codes.InvalidArgument, putOp("b", "1"), putOp("a", strings.Repeat("x", 1_000_001)))
+	requireRejected(codes.NotFound, putOp("b", "1"), leased)
 	found, err := read(connection, "b")
 	require.NoError(t, err)
 	require.Empty(t, found.Kvs)
@@ -107,52 +107,52 @@
 	put(t, connection, "page", strings.Repeat("x", 1_000_000), 0)
 }
 
-func TestCompares(t *testing.T) {
+func TestCompareResults(t *testing.T) {
 	s := newState(DefaultHistory, DefaultValueLimit)
 	_, err := s.txn(&pb.TxnRequest{
 		Success: []*pb.RequestOp{putOp("a", "m")},
 	})
 	require.NoError(t, err)
-	holds := func(key string, compare *pb.Compare) bool {
+	evaluate := func(key string, compare *pb.Compare) bool {
 		compare.Key = []byte(key)
-		holds, err := s.holds(compare)
+		evaluate, err := s.evaluateCompare(compare)
 		require.NoError(t, err)
-		return holds
+		return evaluate
 	}
-	version := func(result pb.Compare_CompareResult, than int64) *pb.Compare {
+	version := func(result pb.Compare_CompareResult, operand int64) *pb.Compare {
 		return &pb.Compare{
 			Result: result,
 			TargetUnion: &pb.Compare_Version{
-				Version: than,
+				Version: operand,
 			},
 		}
 	}
-	value := func(than string) *pb.Compare {
+	value := func(operand string) *pb.Compare {
 		return &pb.Compare{
 			Target: pb.Compare_VALUE,
 			TargetUnion: &pb.Compare_Value{
-				Value: []byte(than),
+				Value: []byte(operand),
 			},
 		}
 	}
-	require.True(t, holds("a", version(pb.Compare_EQUAL, 1)))
-	require.False(t, holds("a", version(pb.Compare_GREATER, 1)))
-	require.True(t, holds("a", version(pb.Compare_LESS, 2)))
-	require.True(t, holds("b", version(pb.Compare_EQUAL, 0)))
-	require.False(t, holds("b", version(pb.Compare_NOT_EQUAL, 0)))
-	require.True(t, holds("a", value("m")))
-	require.False(t, holds("a", value("n")))
-	require.False(t, holds("b", value("")))
-	mixedUp := version(pb.Compare_EQUAL, 1)
-	mixedUp.Target = pb.Compare_MOD
-	_, err = s.holds(mixedUp)
+	require.True(t, evaluate("a", version(pb.Compare_EQUAL, 1)))
+	require.False(t, evaluate("a", version(pb.Compare_GREATER, 1)))
+	require.True(t, evaluate("a", version(pb.Compare_LESS, 2)))
+	require.True(t, evaluate("b", version(pb.Compare_EQUAL, 0)))
+	require.False(t, evaluate("b", version(pb.Compare_NOT_EQUAL, 0)))
+	require.True(t, evaluate("a", value("m")))
+	require.False(t, evaluate("a", value("n")))
+	require.False(t, evaluate("b", value("")))
+	mismatched := version(pb.Compare_EQUAL, 1)
+	mismatched.Target = pb.Compare_MOD
+	_, err = s.evaluateCompare(mismatched)
 	require.Error(t, err)
 }
 
-// A host lists everything, then watches from that revision: the listing with the
-// events put on top must be what a listing of later would show, whatever was
-// written, deleted and left out of the history in between.
-func TestHistoryContinuesAnyListing(t *testing.T) {
+// A host lists all keys, then watches from the listing's revision: applying the
+// events to the listing must give the current contents, whatever was written,
+// deleted and dropped from the history in between.
+func TestEventsAfterListingReproduceState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newState(rapid.IntRange(1, 8).Draw(t, "history"), DefaultValueLimit)
 		listings := map[int64]map[string]*mvccpb.KeyValue{}
@@ -169,10 +169,10 @@
 			listings[s.revision] = maps.Clone(s.keys)
 		}
 		for revision, listing := range listings {
-			if revision+1 < s.history.compacted {
+			if revision+1 < s.history.compactRevision {
 				continue
 			}
-			for _, event := range s.history.since(revision+1, newKeyRange([]byte{0}, []byte{0})) {
+			for _, event := range s.history.eventsSince(revision+1, newKeyRange([]byte{0}, []byte{0})) {
 				delete(listing, string(event.Kv.Key))
 				if event.Type == mvccpb.Event_PUT {
 					listing[string(event.Kv.Key)] = event.Kv
--- a/internal/standin/etcd/lease.go
+++ b/internal/standin/etcd/lease.go
@@ -11,18 +11,18 @@
 	"google.golang.org/grpc"
 )
 
-// leaseService serves leases.
+// leaseService implements the Lease gRPC service.
 type leaseService struct {
 	pb.UnimplementedLeaseServer
 	server *Server
 }
 
-// LeaseGrant makes a lease.
+// LeaseGrant creates a lease.
 func (l leaseService) LeaseGrant(ctx context.Context, request *pb.LeaseGrantRequest) (*pb.LeaseGrantResponse, error) {
 	var response *pb.LeaseGrantResponse
 	err := l.server.call(ctx, kindGrant, func(s *state, now time.Time) (effect, error) {
 		ttl := max(request.TTL, 1)
-		id, err := s.grant(request.ID, time.Duration(ttl)*time.Second, now)
+		id, err := s.grantLease(request.ID, time.Duration(ttl)*time.Second, now)
 		if err != nil {
 			return false, err
 		}
@@ -43,7 +43,7 @@
 func (l leaseService) LeaseRevoke(ctx context.Context, request *pb.LeaseRevokeRequest) (*pb.LeaseRevokeResponse, error) {
 	var response *pb.LeaseRevokeResponse
 	err := l.server.call(ctx, kindRevoke, func(s *state, _ time.Time) (effect, error) {
-		if !s.revoke(request.ID) {
+		if !s.revokeLease(request.ID) {
 			return false, errNoLease
 		}
 		response = &pb.LeaseRevokeResponse{
@@ -57,8 +57,8 @@
 	return response, nil
 }
 
-// LeaseKeepAlive prolongs leases, one for each message. A lease that is gone is
-// answered with a TTL of zero.
+// LeaseKeepAlive renews one lease for each message. For a lease that does not
+// exist the response has a TTL of zero.
 func (l leaseService) LeaseKeepAlive(stream grpc.BidiStreamingServer[pb.LeaseKeepAliveRequest, pb.LeaseKeepAliveResponse]) error {
 	for {
 		request, err := stream.Recv()
@@ -68,7 +68,7 @@
 		if err != nil {
 			return err
 		}
-		response, err := l.keep(stream.Context(), request.ID)
+		response, err := l.renew(stream.Context(), request.ID)
 		if err != nil {
 			return err
 		}
@@ -78,17 +78,17 @@
 	}
 }
 
-func (l leaseService) keep(ctx context.Context, id int64) (*pb.LeaseKeepAliveResponse, error) {
+func (l leaseService) renew(ctx context.Context, id int64) (*pb.LeaseKeepAliveResponse, error) {
 	var response *pb.LeaseKeepAliveResponse
 	err := l.server.call(ctx, kindKeepAlive, func(s *state, now time.Time) (effect, error) {
-		ttl := s.keep(id, now)
+		ttl := s.renewLease(id, now)
 		response = &pb.LeaseKeepAliveResponse{
 			Header: s.header(),
 			ID:     id,
 			TTL:    int64(ttl / time.Second),
 		}
-		// No effect, so that a lost answer asked for hits a write of keys and not
-		// the heartbeat of some lease that came in between.
+		// Reports no effect, so that LoseAnswers hits the next write of keys and
+		// not a keepalive that arrives before it.
 		return false, nil
 	})
 	return response, err
--- a/internal/standin/etcd/main_test.go
+++ b/internal/standin/etcd/main_test.go
@@ -14,37 +14,37 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-const patience = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
 
-// clock is a clock that tests move.
-type clock struct {
+// fakeClock is a clock that tests advance.
+type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func newClock() *clock {
-	return &clock{
+func newFakeClock() *fakeClock {
+	return &fakeClock{
 		now: time.Unix(1_000_000, 0),
 	}
 }
 
-func (c *clock) Now() time.Time {
+func (c *fakeClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) advance(length time.Duration) {
+func (c *fakeClock) advance(duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now = c.now.Add(length)
+	c.now = c.now.Add(duration)
 }
 
-func start(t *testing.T, options Options) (*Server, *grpc.ClientConn) {
+func startServer(t *testing.T, options Options) (*Server, *grpc.ClientConn) {
 	t.Helper()
 	server := New(options)
 	address, err := server.Start("127.0.0.1:0")
@@ -77,9 +77,9 @@
 
 type watchClientStream = grpc.BidiStreamingClient[pb.WatchRequest, pb.WatchResponse]
 
-func openWatch(t *testing.T, connection *grpc.ClientConn, from int64) watchClientStream {
+func openWatch(t *testing.T, connection *grpc.ClientConn, startRevision int64) watchClientStream {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	t.Cleanup(cancel)
 	stream, err := pb.NewWatchClient(connection).Watch(ctx)
 	require.NoError(t, err)
@@ -88,7 +88,7 @@
 			CreateRequest: &pb.WatchCreateRequest{
 				Key:            []byte{0},
 				RangeEnd:       []byte{0},
-				StartRevision:  from,
+				StartRevision:  startRevision,
 				ProgressNotify: true,
 			},
 		},
--- a/internal/standin/etcd/quota.go
+++ b/internal/standin/etcd/quota.go
@@ -6,7 +6,7 @@
 	"golang.org/x/time/rate"
 )
 
-// quotas are the platform's limits on calls.
+// quotas are the rate limits on calls, one token a call.
 type quotas struct {
 	writes *rate.Limiter
 	reads  *rate.Limiter
@@ -19,28 +19,29 @@
 	}
 }
 
-func (q *quotas) take(kind kind, now time.Time) bool {
+func (q *quotas) allow(kind callKind, now time.Time) bool {
 	if kind.writes() {
 		return q.writes.AllowN(now, 1)
 	}
 	return q.reads.AllowN(now, 1)
 }
 
-// owe charges reads that have happened already, into debt where need be.
-func (q *quotas) owe(reads int, now time.Time) {
+// chargeReads charges reads that have already happened. The bucket may go into
+// debt.
+func (q *quotas) chargeReads(reads int, now time.Time) {
 	_ = q.reads.ReserveN(now, min(reads, q.reads.Burst()))
 }
 
-// chargeWaiting charges each open watch for the whole seconds that it has
+// chargeWatches charges each open watch one read for each whole second that it has
 // waited. The caller holds the lock.
-func (s *Server) chargeWaiting(now time.Time) {
-	for watch, charged := range s.waiting {
-		seconds := now.Sub(charged) / time.Second
+func (s *Server) chargeWatches(now time.Time) {
+	for watch, until := range s.chargedUntil {
+		seconds := now.Sub(until) / time.Second
 		if seconds <= 0 {
 			continue
 		}
-		s.waiting[watch] = charged.Add(seconds * time.Second)
-		s.stats.watchSeconds += uint64(seconds)
-		s.quotas.owe(int(seconds), now)
+		s.chargedUntil[watch] = until.Add(seconds * time.Second)
+		s.counters.watchSeconds += uint64(seconds)
+		s.quotas.chargeReads(int(seconds), now)
 	}
 }
--- a/internal/standin/etcd/quota_test.go
+++ b/internal/standin/etcd/quota_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestWriteQuota(t *testing.T) {
-	now := newClock()
-	server, connection := start(t, Options{
-		Now:             now.Now,
+	clock := newFakeClock()
+	server, connection := startServer(t, Options{
+		Now:             clock.Now,
 		WritesPerSecond: 2,
 	})
 	put(t, connection, "a", "1", 0)
@@ -30,14 +30,14 @@
 	require.EqualValues(t, 1, server.Stats().QuotaRefusals)
 	require.EqualValues(t, 3, server.Stats().Puts)
 
-	now.advance(500 * time.Millisecond)
+	clock.advance(500 * time.Millisecond)
 	put(t, connection, "a", "4", 0)
 }
 
 func TestWaitingWatchesAreChargedAsReads(t *testing.T) {
-	now := newClock()
-	server, connection := start(t, Options{
-		Now:            now.Now,
+	clock := newFakeClock()
+	server, connection := startServer(t, Options{
+		Now:            clock.Now,
 		ReadsPerSecond: 4,
 	})
 	ended := openWatch(t, connection, 0)
@@ -47,9 +47,9 @@
 	}
 	require.EqualValues(t, 3, server.Stats().WatchesOpen)
 
-	// The second fills the bucket of four, then the three watches take theirs.
-	now.advance(time.Second)
-	require.Eventually(t, func() bool { return server.Stats().WatchSeconds == 3 }, patience, time.Millisecond)
+	// One second refills the bucket of four tokens, of which the three watches take three.
+	clock.advance(time.Second)
+	require.Eventually(t, func() bool { return server.Stats().WatchSeconds == 3 }, waitTimeout, time.Millisecond)
 	_, err := read(connection, "a")
 	require.NoError(t, err)
 	_, err = read(connection, "a")
@@ -59,7 +59,7 @@
 	require.EqualValues(t, 3+2+3, stats.Calls())
 
 	require.NoError(t, ended.CloseSend())
-	require.Eventually(t, func() bool { return server.Stats().WatchesOpen == 2 }, patience, time.Millisecond)
-	now.advance(time.Second)
-	require.Eventually(t, func() bool { return server.Stats().WatchSeconds == 3+2 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return server.Stats().WatchesOpen == 2 }, waitTimeout, time.Millisecond)
+	clock.advance(time.Second)
+	require.Eventually(t, func() bool { return server.Stats().WatchSeconds == 3+2 }, waitTimeout, time.Millisecond)
 }
--- a/internal/standin/etcd/server.go
+++ b/internal/standin/etcd/server.go
@@ -1,7 +1,12 @@
-// Package etcd is an in-memory stand-in of the platform's key-value service. It
-// serves the part of the published etcd v3 gRPC protocol that
-// internal/wire/etcdserverpb declares, with the quotas of the platform and with
-// faults that can be switched on while it runs.
+// Package etcd is an in-memory stand-in for the platform's key-value service. It
+// serves the part of the etcd v3 gRPC protocol that internal/wire/etcdserverpb
+// declares, enforces the platform's quotas, and simulates faults that can be
+// changed while it runs.
+//
+// Server is the service; its gRPC handlers, kvService, leaseService and
+// watchService, share one state, which Server's mutex guards. Each watch stream
+// has a goroutine that sends and one that receives. A goroutine sweeps expired
+// leases.
 //
 // # Usage
 //
@@ -15,21 +20,21 @@
 //
 // # Quotas
 //
-// Every call costs one token of a bucket that holds one second's worth. Txn,
-// Put, DeleteRange, LeaseGrant, LeaseRevoke and each LeaseKeepAlive message draw
-// on the writes; Range, a Txn that only reads, each watch that is created and
-// each progress request draw on the reads. A waiting watch draws one read for
-// each whole second that it waits. These seconds are charged when the next call
-// or the sweep comes and may put the bucket into debt, so that many watches
-// starve the reads; the watch itself is never refused for them. A call over the
-// quota gets RESOURCE_EXHAUSTED and isn't executed. A progress request over the
-// quota goes unanswered, since a stream has no other way to refuse one message.
+// Every call costs one token of a bucket that holds one second's worth. Txn, Put,
+// DeleteRange, LeaseGrant, LeaseRevoke and each LeaseKeepAlive message are charged
+// to the write quota; Range, a read-only Txn, each watch that is created and each
+// progress request to the read quota. A waiting watch costs one read for each
+// whole second that it waits. These seconds are charged at the next call or sweep
+// and may put the bucket into debt, so that many watches starve the reads; the
+// watch itself is never refused for them. A call over the quota fails with
+// RESOURCE_EXHAUSTED and is not executed. A progress request over the quota is not
+// answered, since a stream has no other way to refuse one message.
 //
-// # What it leaves out
+// # Limitations
 //
 // Only current values are kept: a Range at an older revision is refused as
-// compacted. The bounded event history serves watches alone. Range sorts by key
-// ascending and in no other way, and watches don't send previous values.
+// compacted. The bounded event history serves watches only. Range sorts by key in
+// ascending order only, and watches do not send previous values.
 //
 // Start after Stop serves the same contents again, as after a restart of the
 // service's processes.
@@ -52,35 +57,37 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Values of Options that are zero.
+// Defaults of Options.
 const (
 	DefaultWritesPerSecond               = 300
 	DefaultReadsPerSecond                = 2000
 	DefaultHistory                       = 10000
 	DefaultValueLimit         unit.Bytes = 1_000_000
-	DefaultProgressNotifyTime            = 10 * time.Minute // that of etcd
+	DefaultProgressNotifyTime            = 10 * time.Minute // as in etcd
 )
 
 const (
-	// sweepInterval is how often leases are looked at without a call.
-	sweepInterval = 10 * time.Millisecond
-	// pingLimit is the shortest time between a client's pings, as in etcd.
-	pingLimit = 5 * time.Second
+	// leaseSweepInterval is how often expired leases are revoked when no calls
+	// arrive.
+	leaseSweepInterval = 10 * time.Millisecond
+	// minPingInterval is the shortest interval allowed between a client's pings,
+	// as in etcd.
+	minPingInterval = 5 * time.Second
 )
 
-// Options says how a Server behaves. The zero value works.
+// Options configures a Server. Zero values take the defaults.
 type Options struct {
-	// Now is the clock of leases and quotas; zero is time.Now.
+	// Now is the clock of leases and quotas; nil means time.Now.
 	Now             func() time.Time
 	WritesPerSecond int
 	ReadsPerSecond  int
-	// History is how many events are kept for watches.
+	// History is the number of events kept for watches.
 	History    int
 	ValueLimit unit.Bytes
-	// ProgressNotifyTime is how long a quiet watch waits until it is told the
-	// revision unasked.
+	// ProgressNotifyTime is the interval of unrequested progress notifications,
+	// which tell idle watches the current revision.
 	ProgressNotifyTime time.Duration
-	// Seed drives the random delays of the faults.
+	// Seed seeds the random delays of the MaxDelay fault.
 	Seed uint64
 }
 
@@ -96,75 +103,77 @@
 	return o
 }
 
-// Server is the stand-in. Make one with New.
+// Server is the key-value service. Create it with New.
 type Server struct {
 	options Options
 
-	mu      sync.Mutex
-	state   *state
-	quotas  *quotas
-	faults  Faults
-	random  *rand.Rand
-	stats   counts
-	waiting map[*watch]time.Time // up to when a watch's waiting is charged
-	changed chan struct{}        // closed and replaced at each change
-	running *running
+	mu           sync.Mutex
+	state        *state
+	quotas       *quotas
+	activeFaults Faults
+	random       *rand.Rand
+	counters     counters
+	chargedUntil map[*watch]time.Time // time up to which each open watch is charged
+	changed      chan struct{}        // closed and replaced at each change of state or faults
+	instance     *instance
 }
 
-// running is one life of the server between Start and Stop.
-type running struct {
+// instance holds what exists from a Start to the next Stop.
+type instance struct {
 	tomb tomb.Tomb
 	grpc *grpc.Server
 }
 
-// New returns a server that isn't started yet.
+// New returns a server that is not started yet.
 func New(options Options) *Server {
 	options = options.withDefaults()
 	return &Server{
-		options: options,
-		state:   newState(options.History, options.ValueLimit),
-		quotas:  newQuotas(options),
-		random:  rand.New(rand.NewPCG(options.Seed, 0)),
-		waiting: map[*watch]time.Time{},
-		changed: make(chan struct{}),
+		options:      options,
+		state:        newState(options.History, options.ValueLimit),
+		quotas:       newQuotas(options),
+		random:       rand.New(rand.NewPCG(options.Seed, 0)),
+		chargedUntil: map[*watch]time.Time{},
+		changed:      make(chan struct{}),
 	}
 }
 
-// Start listens at an address like "127.0.0.1:0" and returns the one it got.
+// Start listens at an address such as "127.0.0.1:0" and returns the actual
+// address.
 func (s *Server) Start(listen string) (net.Addr, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running != nil {
+	if s.instance != nil {
 		return nil, errors.New("key-value stand-in: already started")
 	}
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, errors.Wrap(err, "key-value stand-in")
 	}
-	life := &running{
+	started := &instance{
 		grpc: s.newGRPC(),
 	}
-	life.tomb.Go(func() error { return serve(life.grpc, listener) })
-	life.tomb.Go(func() error { return s.sweep(life.tomb.Dying()) })
-	s.running = life
+	started.tomb.Go(func() error { return serve(started.grpc, listener) })
+	started.tomb.Go(func() error { return s.sweep(started.tomb.Dying()) })
+	s.instance = started
 	return listener.Addr(), nil
 }
 
-// Stop cuts all connections and waits for what runs. The contents stay.
+// Stop closes all connections and waits for running handlers. The contents are
+// kept.
 func (s *Server) Stop() error {
 	s.mu.Lock()
-	life := s.running
-	s.running = nil
+	stopped := s.instance
+	s.instance = nil
 	s.mu.Unlock()
-	if life == nil {
+	if stopped == nil {
 		return nil
 	}
-	life.tomb.Kill(nil)
-	life.grpc.Stop()
-	return life.tomb.Wait()
+	stopped.tomb.Kill(nil)
+	stopped.grpc.Stop()
+	return stopped.tomb.Wait()
 }
 
-// serve takes a Stop that came before it for the usual end that it is.
+// serve returns no error if Stop was called, even before Serve began.
 func serve(server *grpc.Server, listener net.Listener) error {
 	if err := server.Serve(listener); !errors.Is(err, grpc.ErrServerStopped) {
 		return err
@@ -177,7 +186,7 @@
 		grpc.MaxRecvMsgSize(math.MaxInt32),
 		grpc.WaitForHandlers(true),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
-			MinTime: pingLimit,
+			MinTime: minPingInterval,
 		}),
 	)
 	pb.RegisterKVServer(server, kvService{
@@ -192,9 +201,9 @@
 	return server
 }
 
-// sweep lets leases lapse and charges waiting watches while no calls come.
+// sweep revokes expired leases and charges waiting watches when no calls arrive.
 func (s *Server) sweep(dying <-chan struct{}) error {
-	ticker := time.NewTicker(sweepInterval)
+	ticker := time.NewTicker(leaseSweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -202,41 +211,43 @@
 			return nil
 		case <-ticker.C:
 			s.mu.Lock()
-			s.catchUp()
+			s.applyElapsedTime()
 			s.mu.Unlock()
 		}
 	}
 }
 
-// catchUp does what time alone brings. The caller holds the lock.
-func (s *Server) catchUp() {
+// applyElapsedTime charges waiting watches and revokes expired leases. The caller
+// holds the lock.
+func (s *Server) applyElapsedTime() {
 	now := s.options.Now()
-	s.chargeWaiting(now)
-	if s.state.lapse(now) {
-		s.wake()
+	s.chargeWatches(now)
+	if s.state.expireLeases(now) {
+		s.notifyWatches()
 	}
 }
 
-// wake tells all watch streams to look again. The caller holds the lock.
-func (s *Server) wake() {
+// notifyWatches makes all watch streams check the state again. The caller holds
+// the lock.
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Server) signal() <-chan struct{} {
+func (s *Server) changeSignal() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// dying ends waits when the server stops.
+// dying returns a channel that is closed when the server stops.
 func (s *Server) dying() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running == nil {
+	if s.instance == nil {
 		ended := make(chan struct{})
 		close(ended)
 		return ended
 	}
-	return s.running.tomb.Dying()
+	return s.instance.tomb.Dying()
 }
--- a/internal/standin/etcd/state.go
+++ b/internal/standin/etcd/state.go
@@ -11,53 +11,54 @@
 	"cicadaloom/internal/wire/mvccpb"
 )
 
-// historyBytes bounds the values that the history keeps, since a history of
-// full pages would fill the memory long before it has its number of events.
-const historyBytes = 64 * unit.Mebibyte
+// maxHistoryBytes bounds the size of the events in the history: events with values
+// of the largest size would fill the memory long before their number reaches the
+// limit.
+const maxHistoryBytes = 64 * unit.Mebibyte
 
-// state is what the service holds. It has no lock: Server guards it.
+// state is the contents of the service. Server's mutex guards it.
 type state struct {
 	valueLimit unit.Bytes
-	// cluster tells this service from every other.
-	cluster   uint64
-	revision  int64
-	keys      map[string]*mvccpb.KeyValue // replaced at each write, never changed
-	leases    map[int64]*lease
-	lastLease int64
-	history   history
+	// clusterID distinguishes this service from others.
+	clusterID   uint64
+	revision    int64
+	keys        map[string]*mvccpb.KeyValue // an entry is replaced at each write, never modified
+	leases      map[int64]*lease
+	lastLeaseID int64
+	history     history
 }
 
-// lease is the state of a lease and the keys that go with it.
+// lease is a lease with the keys that are attached to it.
 type lease struct {
-	ttl     time.Duration
-	expires time.Time
-	keys    map[string]struct{}
+	ttl       time.Duration
+	expiresAt time.Time
+	keys      map[string]struct{}
 }
 
 func newState(events int, valueLimit unit.Bytes) *state {
 	return &state{
 		valueLimit: valueLimit,
-		cluster:    rand.Uint64(),
-		revision:   1, // that of an empty etcd
+		clusterID:  rand.Uint64(),
+		revision:   1, // as in an empty etcd
 		keys:       map[string]*mvccpb.KeyValue{},
 		leases:     map[int64]*lease{},
 		history: history{
-			limit: events,
+			maxEvents: events,
 		},
 	}
 }
 
 func (s *state) header() *pb.ResponseHeader {
 	return &pb.ResponseHeader{
-		ClusterId: s.cluster,
+		ClusterId: s.clusterID,
 		MemberId:  1,
 		Revision:  s.revision,
 		RaftTerm:  1,
 	}
 }
 
-// keyRange is a request's key and range_end, with etcd's meanings: an empty end
-// is the one key, an end of a zero byte is everything from the key on.
+// keyRange is a request's key and range_end, with etcd's meaning: an empty end
+// selects the one key, an end of one zero byte selects all keys from key on.
 type keyRange struct {
 	key string
 	end string
@@ -70,7 +71,7 @@
 	}
 }
 
-func (r keyRange) has(key string) bool {
+func (r keyRange) contains(key string) bool {
 	switch r.end {
 	case "":
 		return key == r.key
@@ -80,8 +81,8 @@
 	return r.key <= key && key < r.end
 }
 
-// find returns the entries of a range in the order of their keys.
-func (s *state) find(r keyRange) []*mvccpb.KeyValue {
+// findRange returns the entries of a key range, sorted by key.
+func (s *state) findRange(r keyRange) []*mvccpb.KeyValue {
 	if r.end == "" {
 		if kv, ok := s.keys[r.key]; ok {
 			return []*mvccpb.KeyValue{kv}
@@ -90,7 +91,7 @@
 	}
 	var found []*mvccpb.KeyValue
 	for key, kv := range s.keys {
-		if r.has(key) {
+		if r.contains(key) {
 			found = append(found, kv)
 		}
 	}
@@ -98,7 +99,7 @@
 	return found
 }
 
-// put writes a value at a revision. The lease was checked before.
+// put writes a value at a revision. The caller has checked that the lease exists.
 func (s *state) put(request *pb.PutRequest, revision int64) *mvccpb.KeyValue {
 	key := string(request.Key)
 	previous := s.keys[key]
@@ -113,7 +114,7 @@
 	if previous != nil {
 		kv.CreateRevision = previous.CreateRevision
 		kv.Version = previous.Version + 1
-		s.detach(previous)
+		s.detachFromLease(previous)
 	}
 	s.keys[key] = kv
 	if l, ok := s.leases[request.Lease]; ok {
@@ -126,11 +127,11 @@
 	return previous
 }
 
-// remove deletes the entries of a range at a revision and returns them.
-func (s *state) remove(r keyRange, revision int64) []*mvccpb.KeyValue {
-	removed := s.find(r)
+// deleteRange deletes the entries of a key range at a revision and returns them.
+func (s *state) deleteRange(r keyRange, revision int64) []*mvccpb.KeyValue {
+	removed := s.findRange(r)
 	for _, kv := range removed {
-		s.detach(kv)
+		s.detachFromLease(kv)
 		delete(s.keys, string(kv.Key))
 		s.history.add(&mvccpb.Event{
 			Type: mvccpb.Event_DELETE,
@@ -143,14 +144,14 @@
 	return removed
 }
 
-func (s *state) detach(kv *mvccpb.KeyValue) {
+func (s *state) detachFromLease(kv *mvccpb.KeyValue) {
 	if l, ok := s.leases[kv.Lease]; ok {
 		delete(l.keys, string(kv.Key))
 	}
 }
 
-// grant makes a lease; an id of zero asks for a new one.
-func (s *state) grant(id int64, ttl time.Duration, now time.Time) (int64, error) {
+// grantLease creates a lease. An id of zero requests a new id.
+func (s *state) grantLease(id int64, ttl time.Duration, now time.Time) (int64, error) {
 	if _, ok := s.leases[id]; ok {
 		return 0, errLeaseExists
 	}
@@ -158,34 +159,35 @@
 		id = s.newLeaseID()
 	}
 	s.leases[id] = &lease{
-		ttl:     ttl,
-		expires: now.Add(ttl),
-		keys:    map[string]struct{}{},
+		ttl:       ttl,
+		expiresAt: now.Add(ttl),
+		keys:      map[string]struct{}{},
 	}
 	return id, nil
 }
 
 func (s *state) newLeaseID() int64 {
 	for {
-		s.lastLease++
-		if _, ok := s.leases[s.lastLease]; !ok {
-			return s.lastLease
+		s.lastLeaseID++
+		if _, ok := s.leases[s.lastLeaseID]; !ok {
+			return s.lastLeaseID
 		}
 	}
 }
 
-// keep prolongs a lease and returns its length, zero where it is gone.
-func (s *state) keep(id int64, now time.Time) time.Duration {
+// renewLease renews a lease and returns its TTL, zero if the lease does not exist.
+func (s *state) renewLease(id int64, now time.Time) time.Duration {
 	l, ok := s.leases[id]
 	if !ok {
 		return 0
 	}
-	l.expires = now.Add(l.ttl)
+	l.expiresAt = now.Add(l.ttl)
 	return l.ttl
 }
 
-// revoke ends a lease and deletes its keys, all at one revision.
-func (s *state) revoke(id int64) bool {
+// revokeLease removes a lease and deletes its keys, all at one revision. It
+// reports whether the lease existed.
+func (s *state) revokeLease(id int64) bool {
 	l, ok := s.leases[id]
 	if !ok {
 		return false
@@ -201,7 +203,7 @@
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		s.remove(keyRange{
+		s.deleteRange(keyRange{
 			key: key,
 		}, s.revision)
 	}
@@ -209,25 +211,25 @@
 	return true
 }
 
-// lapse revokes all leases whose time has come and tells whether any had.
-func (s *state) lapse(now time.Time) bool {
-	return s.lapseWhere(func(l *lease) bool { return !now.Before(l.expires) })
+// expireLeases revokes all expired leases and reports whether there were any.
+func (s *state) expireLeases(now time.Time) bool {
+	return s.expireWhere(func(l *lease) bool { return !now.Before(l.expiresAt) })
 }
 
-func (s *state) lapseAll() {
-	s.lapseWhere(func(*lease) bool { return true })
+func (s *state) expireAllLeases() {
+	s.expireWhere(func(*lease) bool { return true })
 }
 
-func (s *state) lapseWhere(over func(*lease) bool) bool {
+func (s *state) expireWhere(isExpired func(*lease) bool) bool {
 	var ids []int64
 	for id, l := range s.leases {
-		if over(l) {
+		if isExpired(l) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		s.revoke(id)
+		s.revokeLease(id)
 	}
 	return len(ids) > 0
 }
--- a/internal/standin/etcd/stats.go
+++ b/internal/standin/etcd/stats.go
@@ -1,6 +1,6 @@
 package etcd
 
-// Stats tells what was asked of the server since New, refused calls included.
+// Stats counts the calls since New, including refused calls.
 type Stats struct {
 	Ranges     uint64
 	Puts       uint64
@@ -12,35 +12,36 @@
 	KeepAlives uint64
 	Watches    uint64
 	Progresses uint64
-	// WatchSeconds is what waiting watches were charged, one call each second.
+	// WatchSeconds is the number of reads charged to waiting watches, one a
+	// second.
 	WatchSeconds uint64
-	// WatchesOpen is the number of watches that wait now.
+	// WatchesOpen is the number of open watches.
 	WatchesOpen uint64
-	// QuotaRefusals is how many calls were refused as over the quota.
+	// QuotaRefusals is the number of calls refused as over the quota.
 	QuotaRefusals uint64
-	// AnswersLost is how many writes took effect without an answer.
+	// AnswersLost is the number of writes that took effect without an answer.
 	AnswersLost uint64
 }
 
-// Calls is the number of all calls, the seconds of waiting watches among them.
+// Calls is the number of all calls, including WatchSeconds.
 func (s Stats) Calls() uint64 {
 	return s.Ranges + s.Puts + s.Deletes + s.Txns + s.ReadTxns + s.Grants +
 		s.Revokes + s.KeepAlives + s.Watches + s.Progresses + s.WatchSeconds
 }
 
-// counts is the state behind Stats.
-type counts struct {
-	calls         [kinds]uint64
+// counters are the counts from which Stats is made.
+type counters struct {
+	calls         [kindCount]uint64
 	watchSeconds  uint64
 	quotaRefusals uint64
 	answersLost   uint64
 }
 
-// Stats returns the counts as they stand.
+// Stats returns the current counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	calls := &s.stats.calls
+	calls := &s.counters.calls
 	return Stats{
 		Ranges:        calls[kindRange],
 		Puts:          calls[kindPut],
@@ -52,9 +53,9 @@
 		KeepAlives:    calls[kindKeepAlive],
 		Watches:       calls[kindWatch],
 		Progresses:    calls[kindProgress],
-		WatchSeconds:  s.stats.watchSeconds,
-		WatchesOpen:   uint64(len(s.waiting)),
-		QuotaRefusals: s.stats.quotaRefusals,
-		AnswersLost:   s.stats.answersLost,
+		WatchSeconds:  s.counters.watchSeconds,
+		WatchesOpen:   uint64(len(s.chargedUntil)),
+		QuotaRefusals: s.counters.quotaRefusals,
+		AnswersLost:   s.counters.answersLost,
 	}
 }
--- a/internal/standin/etcd/txn.go
+++ b/internal/standin/etcd/txn.go
@@ -9,21 +9,22 @@
 	"cicadaloom/internal/wire/mvccpb"
 )
 
-// maxTxnOps is etcd's bound on each list of a transaction.
+// maxTxnOps is etcd's limit on the compares and on each operation list of a
+// transaction.
 const maxTxnOps = 128
 
-// txn executes a transaction or, where it returns an error, nothing of it.
+// txn executes a transaction. If it returns an error, nothing was executed.
 func (s *state) txn(request *pb.TxnRequest) (*pb.TxnResponse, error) {
 	if err := s.checkTxn(request); err != nil {
 		return nil, err
 	}
 	succeeded := true
 	for _, compare := range request.Compare {
-		holds, err := s.holds(compare)
+		isTrue, err := s.evaluateCompare(compare)
 		if err != nil {
 			return nil, err
 		}
-		succeeded = succeeded && holds
+		succeeded = succeeded && isTrue
 	}
 	operations := request.Failure
 	if succeeded {
@@ -79,7 +80,7 @@
 		}
 		deleted := newKeyRange(deletion.Key, deletion.RangeEnd)
 		for key := range puts {
-			if deleted.has(key) {
+			if deleted.contains(key) {
 				return errDuplicateKey
 			}
 		}
@@ -119,10 +120,10 @@
 	return nil
 }
 
-// execute runs checked operations. All that they write has one new revision,
-// which counts only where something was written.
+// execute runs operations that were checked. All their writes have the same new
+// revision; the revision stays if nothing was written.
 func (s *state) execute(operations []*pb.RequestOp) []*pb.ResponseOp {
-	next := s.revision + 1
+	nextRevision := s.revision + 1
 	var responses []*pb.ResponseOp
 	for _, operation := range operations {
 		switch request := operation.Request.(type) {
@@ -133,18 +134,18 @@
 				},
 			})
 		case *pb.RequestOp_RequestPut:
-			responses = append(responses, s.executePut(request.RequestPut, next))
+			responses = append(responses, s.executePut(request.RequestPut, nextRevision))
 		case *pb.RequestOp_RequestDeleteRange:
-			responses = append(responses, s.executeDelete(request.RequestDeleteRange, next))
+			responses = append(responses, s.executeDelete(request.RequestDeleteRange, nextRevision))
 		}
 	}
 	s.history.trim()
 	return responses
 }
 
-func (s *state) executePut(request *pb.PutRequest, next int64) *pb.ResponseOp {
-	previous := s.put(request, next)
-	s.revision = next
+func (s *state) executePut(request *pb.PutRequest, revision int64) *pb.ResponseOp {
+	previous := s.put(request, revision)
+	s.revision = revision
 	response := &pb.PutResponse{}
 	if request.PrevKv {
 		response.PrevKv = previous
@@ -156,10 +157,10 @@
 	}
 }
 
-func (s *state) executeDelete(request *pb.DeleteRangeRequest, next int64) *pb.ResponseOp {
-	removed := s.remove(newKeyRange(request.Key, request.RangeEnd), next)
+func (s *state) executeDelete(request *pb.DeleteRangeRequest, revision int64) *pb.ResponseOp {
+	removed := s.deleteRange(newKeyRange(request.Key, request.RangeEnd), revision)
 	if len(removed) > 0 {
-		s.revision = next
+		s.revision = revision
 	}
 	response := &pb.DeleteRangeResponse{
 		Deleted: int64(len(removed)),
@@ -174,9 +175,9 @@
 	}
 }
 
-// holds evaluates a compare. An absent key has zeros, as in etcd, and fails any
-// compare of its value.
-func (s *state) holds(compare *pb.Compare) (bool, error) {
+// evaluateCompare evaluates a compare. A missing key compares as zeros, as in
+// etcd, and fails any compare of its value.
+func (s *state) evaluateCompare(compare *pb.Compare) (bool, error) {
 	if !targetMatches(compare) {
 		return false, errBadCompare
 	}
@@ -184,27 +185,27 @@
 	if !ok {
 		kv = &mvccpb.KeyValue{}
 	}
-	var order int
+	var comparison int
 	switch target := compare.TargetUnion.(type) {
 	case *pb.Compare_Version:
-		order = cmp.Compare(kv.Version, target.Version)
+		comparison = cmp.Compare(kv.Version, target.Version)
 	case *pb.Compare_CreateRevision:
-		order = cmp.Compare(kv.CreateRevision, target.CreateRevision)
+		comparison = cmp.Compare(kv.CreateRevision, target.CreateRevision)
 	case *pb.Compare_ModRevision:
-		order = cmp.Compare(kv.ModRevision, target.ModRevision)
+		comparison = cmp.Compare(kv.ModRevision, target.ModRevision)
 	case *pb.Compare_Lease:
-		order = cmp.Compare(kv.Lease, target.Lease)
+		comparison = cmp.Compare(kv.Lease, target.Lease)
 	case *pb.Compare_Value:
 		if !ok {
 			return false, nil
 		}
-		order = bytes.Compare(kv.Value, target.Value)
+		comparison = bytes.Compare(kv.Value, target.Value)
 	}
-	return inOrder(compare.Result, order), nil
+	return matchesResult(compare.Result, comparison), nil
 }
 
-// targetMatches tells whether the target named is the one given. etcd goes by
-// the name, so a client that mixes them up would compare with something else.
+// targetMatches reports whether the named target is that of the operand. etcd goes
+// by the name, so a client that confuses them would compare with something else.
 func targetMatches(compare *pb.Compare) bool {
 	switch compare.TargetUnion.(type) {
 	case *pb.Compare_Version:
@@ -221,19 +222,19 @@
 	return false
 }
 
-func inOrder(result pb.Compare_CompareResult, order int) bool {
+func matchesResult(result pb.Compare_CompareResult, comparison int) bool {
 	switch result {
 	case pb.Compare_GREATER:
-		return order > 0
+		return comparison > 0
 	case pb.Compare_LESS:
-		return order < 0
+		return comparison < 0
 	case pb.Compare_NOT_EQUAL:
-		return order != 0
+		return comparison != 0
 	}
-	return order == 0
+	return comparison == 0
 }
 
-func anyWrite(operations []*pb.RequestOp) bool {
+func hasWrite(operations []*pb.RequestOp) bool {
 	for _, operation := range operations {
 		if operation.GetRequestPut() != nil || operation.GetRequestDeleteRange() != nil {
 			return true
--- a/internal/standin/etcd/watch.go
+++ b/internal/standin/etcd/watch.go
@@ -14,12 +14,13 @@
 	"gopkg.in/tomb.v2"
 )
 
-// progressWatchID is the id in an answer to a progress request, as in etcd.
+// progressWatchID is the watch id in the response to a progress request, as in
+// etcd.
 const progressWatchID = -1
 
 type watchServerStream = grpc.BidiStreamingServer[pb.WatchRequest, pb.WatchResponse]
 
-// watchService serves watches.
+// watchService implements the Watch gRPC service.
 type watchService struct {
 	pb.UnimplementedWatchServer
 	server *Server
@@ -27,20 +28,20 @@
 
 // watch is one watch of a stream.
 type watch struct {
-	id       int64
-	keys     keyRange
-	next     int64 // the first revision that isn't delivered yet
-	progress bool
+	id            int64
+	keys          keyRange
+	nextRevision  int64 // first revision not delivered yet
+	wantsProgress bool
 }
 
-// watchStream is one client's stream with its watches.
+// watchStream is a client's stream with its watches.
 type watchStream struct {
 	server  *Server
 	stream  watchServerStream
 	watches []*watch
 	lastID  int64
-	// progressAsked is set until a progress request is answered.
-	progressAsked bool
+	// progressRequested is set until the progress request is answered.
+	progressRequested bool
 }
 
 // Watch serves the watches of one stream until it ends.
@@ -51,8 +52,8 @@
 	}
 	defer ws.close()
 	requests := make(chan *pb.WatchRequest)
-	// Recv returns no earlier than this handler, whose return ends the stream:
-	// so nobody can wait for this goroutine here.
+	// Recv blocks until this handler returns, since its return ends the stream:
+	// the handler can't wait for the receiving goroutine.
 	var receiver tomb.Tomb
 	receiver.Go(func() error { return ws.receive(requests) })
 	return ws.run(requests, &receiver)
@@ -80,8 +81,9 @@
 	notify := time.NewTicker(w.server.options.ProgressNotifyTime)
 	defer notify.Stop()
 	for {
-		// The signal is taken before looking, so that no change is missed.
-		changed := w.server.signal()
+		// Takes the signal before it checks the state, so that no change is
+		// missed.
+		changed := w.server.changeSignal()
 		if err := w.flush(); err != nil {
 			return err
 		}
@@ -110,7 +112,7 @@
 	case *pb.WatchRequest_CancelRequest:
 		return w.cancel(request.CancelRequest.WatchId)
 	case *pb.WatchRequest_ProgressRequest:
-		return w.askProgress()
+		return w.requestProgress()
 	}
 	return nil
 }
@@ -125,14 +127,14 @@
 	}
 	w.lastID++
 	created := &watch{
-		id:       w.lastID,
-		keys:     newKeyRange(request.Key, request.RangeEnd),
-		next:     request.StartRevision,
-		progress: request.ProgressNotify,
+		id:            w.lastID,
+		keys:          newKeyRange(request.Key, request.RangeEnd),
+		nextRevision:  request.StartRevision,
+		wantsProgress: request.ProgressNotify,
 	}
 	w.watches = append(w.watches, created)
-	header, silent := w.server.open(created)
-	if silent {
+	header, silenced := w.server.openWatch(created)
+	if silenced {
 		return nil
 	}
 	return w.stream.Send(&pb.WatchResponse{
@@ -148,7 +150,7 @@
 			continue
 		}
 		return w.stream.Send(&pb.WatchResponse{
-			Header:   w.drop(watch),
+			Header:   w.removeWatch(watch),
 			WatchId:  id,
 			Canceled: true,
 		})
@@ -156,93 +158,94 @@
 	return nil
 }
 
-// askProgress takes a progress request. flush answers it, after the events.
-func (w *watchStream) askProgress() error {
+// requestProgress records a progress request. flush answers it, after the events.
+func (w *watchStream) requestProgress() error {
 	delay, err := w.server.admit(kindProgress)
-	if errors.Is(err, errOverQuota) {
+	if errors.Is(err, errQuotaExceeded) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	w.progressAsked = true
+	w.progressRequested = true
 	return w.server.wait(w.stream.Context(), kindProgress, delay)
 }
 
-// flush sends all that the watches haven't got yet.
+// flush sends all undelivered events and answers a progress request.
 func (w *watchStream) flush() error {
 	for _, watch := range w.watches {
 		if err := w.flushWatch(watch); err != nil {
 			return err
 		}
 	}
-	if !w.progressAsked {
+	if !w.progressRequested {
 		return nil
 	}
-	news := w.server.newsFor(nil)
-	if news.err != nil || news.silent {
-		return news.err
+	update := w.server.updateFor(nil)
+	if update.err != nil || update.silenced {
+		return update.err
 	}
-	// Events may have come since the watches were flushed: the revision told is
-	// the oldest that all of them have.
+	// Events may have arrived since the watches were flushed: the response has
+	// the newest revision that all watches have been sent.
 	for _, watch := range w.watches {
-		news.header.Revision = min(news.header.Revision, watch.next-1)
+		update.header.Revision = min(update.header.Revision, watch.nextRevision-1)
 	}
-	w.progressAsked = false
+	w.progressRequested = false
 	return w.stream.Send(&pb.WatchResponse{
-		Header:  news.header,
+		Header:  update.header,
 		WatchId: progressWatchID,
 	})
 }
 
 func (w *watchStream) flushWatch(watch *watch) error {
-	news := w.server.newsFor(watch)
-	if news.err != nil || news.silent {
-		return news.err
+	update := w.server.updateFor(watch)
+	if update.err != nil || update.silenced {
+		return update.err
 	}
-	if news.compacted > 0 {
-		return w.cancelCompacted(watch, news)
+	if update.compactRevision > 0 {
+		return w.cancelCompacted(watch, update)
 	}
-	if len(news.events) > 0 {
-		if err := w.server.wait(w.stream.Context(), kindWatch, news.delay); err != nil {
+	if len(update.events) > 0 {
+		if err := w.server.wait(w.stream.Context(), kindWatch, update.delay); err != nil {
 			return err
 		}
 		err := w.stream.Send(&pb.WatchResponse{
-			Header:  news.header,
+			Header:  update.header,
 			WatchId: watch.id,
-			Events:  news.events,
+			Events:  update.events,
 		})
 		if err != nil {
 			return err
 		}
 	}
-	watch.next = max(watch.next, news.header.Revision+1)
+	watch.nextRevision = max(watch.nextRevision, update.header.Revision+1)
 	return nil
 }
 
-func (w *watchStream) cancelCompacted(watch *watch, news news) error {
+func (w *watchStream) cancelCompacted(watch *watch, update watchUpdate) error {
 	return w.stream.Send(&pb.WatchResponse{
-		Header:          w.drop(watch),
+		Header:          w.removeWatch(watch),
 		WatchId:         watch.id,
 		Canceled:        true,
-		CompactRevision: news.compacted,
-		CancelReason:    fmt.Sprintf("etcdserver: mvcc: required revision %d has been compacted", watch.next),
+		CompactRevision: update.compactRevision,
+		CancelReason:    fmt.Sprintf("etcdserver: mvcc: required revision %d has been compacted", watch.nextRevision),
 	})
 }
 
-// notifyProgress tells quiet watches that asked for it how far they are.
+// notifyProgress sends the delivered revision to the watches that asked for
+// progress notifications.
 func (w *watchStream) notifyProgress() error {
-	news := w.server.newsFor(nil)
-	if news.err != nil || news.silent {
-		return news.err
+	update := w.server.updateFor(nil)
+	if update.err != nil || update.silenced {
+		return update.err
 	}
 	for _, watch := range w.watches {
-		if !watch.progress {
+		if !watch.wantsProgress {
 			continue
 		}
-		news.header.Revision = min(news.header.Revision, watch.next-1)
+		update.header.Revision = min(update.header.Revision, watch.nextRevision-1)
 		err := w.stream.Send(&pb.WatchResponse{
-			Header:  news.header,
+			Header:  update.header,
 			WatchId: watch.id,
 		})
 		if err != nil {
@@ -252,9 +255,9 @@
 	return nil
 }
 
-// drop takes a watch off the stream. The list is copied, since flush may be
-// going over it.
-func (w *watchStream) drop(watch *watch) *pb.ResponseHeader {
+// removeWatch removes a watch from the stream. It copies the list, since flush may
+// be iterating over it.
+func (w *watchStream) removeWatch(watch *watch) *pb.ResponseHeader {
 	i := slices.Index(w.watches, watch)
 	w.watches = slices.Concat(w.watches[:i], w.watches[i+1:])
 	return w.server.closeWatch(watch)
@@ -266,54 +269,55 @@
 	}
 }
 
-// news is what a stream finds when it looks at the state.
-type news struct {
-	header    *pb.ResponseHeader
-	events    []*mvccpb.Event
-	compacted int64
-	silent    bool
-	delay     time.Duration
-	err       error
+// watchUpdate is what a watch stream has to send, as of one look at the state.
+type watchUpdate struct {
+	header          *pb.ResponseHeader
+	events          []*mvccpb.Event
+	compactRevision int64
+	silenced        bool
+	delay           time.Duration
+	err             error
 }
 
-// newsFor looks for what a watch hasn't got yet; without one at the state alone.
-func (s *Server) newsFor(watch *watch) news {
+// updateFor returns the undelivered events of a watch. For a nil watch it returns
+// the header and the faults only.
+func (s *Server) updateFor(watch *watch) watchUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found := news{
-		header: s.state.header(),
-		silent: s.faults.SilentWatches,
+	update := watchUpdate{
+		header:   s.state.header(),
+		silenced: s.activeFaults.SilentWatches,
 	}
-	if s.faults.Down {
-		found.err = errDown
+	if s.activeFaults.Down {
+		update.err = errDown
 	}
-	if watch == nil || found.silent {
-		return found
+	if watch == nil || update.silenced {
+		return update
 	}
-	if watch.next < s.state.history.compacted {
-		found.compacted = s.state.history.compacted
-		return found
+	if watch.nextRevision < s.state.history.compactRevision {
+		update.compactRevision = s.state.history.compactRevision
+		return update
 	}
-	found.events = s.state.history.since(watch.next, watch.keys)
-	found.delay = s.delay()
-	return found
+	update.events = s.state.history.eventsSince(watch.nextRevision, watch.keys)
+	update.delay = s.drawDelay()
+	return update
 }
 
-// open starts to charge a watch and settles where it starts. A start of zero
-// is the revision after the current one.
-func (s *Server) open(watch *watch) (*pb.ResponseHeader, bool) {
+// openWatch starts to charge a watch and sets its first revision. A revision of
+// zero stands for the one after the current revision.
+func (s *Server) openWatch(watch *watch) (*pb.ResponseHeader, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if watch.next == 0 {
-		watch.next = s.state.revision + 1
+	if watch.nextRevision == 0 {
+		watch.nextRevision = s.state.revision + 1
 	}
-	s.waiting[watch] = s.options.Now()
-	return s.state.header(), s.faults.SilentWatches
+	s.chargedUntil[watch] = s.options.Now()
+	return s.state.header(), s.activeFaults.SilentWatches
 }
 
 func (s *Server) closeWatch(watch *watch) *pb.ResponseHeader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, watch)
+	delete(s.chargedUntil, watch)
 	return s.state.header()
 }
