--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -8,14 +8,14 @@
 	"github.com/pkg/errors"
 )
 
-// cachedSaving is the share of the first token's time that a cached prompt saves.
-const cachedSaving = 0.8
+// cachedTimeSaving is the share of the first token's time that a cached prompt saves.
+const cachedTimeSaving = 0.8
 
 // The ways in which a request does not get to run.
 var (
-	errQueueFull = errors.New("queue is full")
-	errTooLate   = errors.New("deadline passed in the queue")
-	errCancelled = errors.New("cancelled in the queue")
+	errQueueFull      = errors.New("queue is full")
+	errDeadlinePassed = errors.New("deadline passed in the queue")
+	errCancelled      = errors.New("cancelled in the queue")
 )
 
 // ticket is a request's place in the queue.
@@ -26,44 +26,44 @@
 }
 
 // acquire waits for a slot. Without an error the user must release it.
-func (l *life) acquire(ctx context.Context, priority int, deadline time.Time) error {
-	place, err := l.enqueue(priority)
+func (inc *incarnation) acquire(ctx context.Context, priority int, deadline time.Time) error {
+	queued, err := inc.enqueue(priority)
 	if err != nil {
 		return err
 	}
 	if !deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadlineCause(ctx, deadline, errTooLate)
+		ctx, cancel = context.WithDeadlineCause(ctx, deadline, errDeadlinePassed)
 		defer cancel()
 	}
 	select {
-	case <-place.granted:
+	case <-queued.granted:
 		return nil
 	case <-ctx.Done():
 	}
-	l.giveUp(place)
-	if errors.Is(context.Cause(ctx), errTooLate) {
-		return errTooLate
+	inc.abandon(queued)
+	if errors.Is(context.Cause(ctx), errDeadlinePassed) {
+		return errDeadlinePassed
 	}
 	return errCancelled
 }
 
-func (l *life) enqueue(priority int) (*ticket, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.running >= l.engine.options.Slots && len(l.queue) >= l.engine.options.QueueLimit {
+func (inc *incarnation) enqueue(priority int) (*ticket, error) {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	if inc.running >= inc.engine.options.Slots && len(inc.queue) >= inc.engine.options.QueueLimit {
 		return nil, errQueueFull
 	}
-	l.arrivals++
-	place := &ticket{
+	inc.lastArrival++
+	queued := &ticket{
 		priority: priority,
-		arrival:  l.arrivals,
+		arrival:  inc.lastArrival,
 		granted:  make(chan struct{}),
 	}
-	at, _ := slices.BinarySearchFunc(l.queue, place, (*ticket).compare)
-	l.queue = slices.Insert(l.queue, at, place)
-	l.grant()
-	return place, nil
+	index, _ := slices.BinarySearchFunc(inc.queue, queued, (*ticket).compare)
+	inc.queue = slices.Insert(inc.queue, index, queued)
+	inc.grantFreeSlots()
+	return queued, nil
 }
 
 func (t *ticket) compare(other *ticket) int {
@@ -73,58 +73,58 @@
 	return int(t.arrival - other.arrival)
 }
 
-// grant gives free slots to the queue; it is called with mu held.
-func (l *life) grant() {
-	for l.running < l.engine.options.Slots && len(l.queue) > 0 {
-		l.running++
-		close(l.queue[0].granted)
-		l.queue = slices.Delete(l.queue, 0, 1)
+// grantFreeSlots gives free slots to the queue; it is called with mu held.
+func (inc *incarnation) grantFreeSlots() {
+	for inc.running < inc.engine.options.Slots && len(inc.queue) > 0 {
+		inc.running++
+		close(inc.queue[0].granted)
+		inc.queue = slices.Delete(inc.queue, 0, 1)
 	}
 }
 
-// giveUp takes a ticket out of the queue, or releases the slot that it was
+// abandon takes a ticket out of the queue, or releases the slot that it was
 // granted in the same moment.
-func (l *life) giveUp(place *ticket) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if at := slices.Index(l.queue, place); at >= 0 {
-		l.queue = slices.Delete(l.queue, at, at+1)
+func (inc *incarnation) abandon(queued *ticket) {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	if index := slices.Index(inc.queue, queued); index >= 0 {
+		inc.queue = slices.Delete(inc.queue, index, index+1)
 		return
 	}
-	l.running--
-	l.grant()
+	inc.running--
+	inc.grantFreeSlots()
 }
 
-func (l *life) release() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.running--
-	l.grant()
+func (inc *incarnation) release() {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	inc.running--
+	inc.grantFreeSlots()
 }
 
 // firstTokenTime is how long the prompt takes.
-func (l *life) firstTokenTime(cached float64) time.Duration {
-	return l.slowed(float64(l.engine.options.FirstToken) * (1 - cachedSaving*cached))
+func (inc *incarnation) firstTokenTime(cached float64) time.Duration {
+	return inc.applySlowFactor(float64(inc.engine.options.FirstToken) * (1 - cachedTimeSaving*cached))
 }
 
 // tokenTime is how long a further token takes with what runs now.
-func (l *life) tokenTime() time.Duration {
-	l.mu.Lock()
-	share := float64(l.running) / float64(l.engine.options.Slots)
-	l.mu.Unlock()
-	return l.slowed(float64(l.engine.options.PerToken) * (1 + share))
+func (inc *incarnation) tokenTime() time.Duration {
+	inc.mu.Lock()
+	occupancy := float64(inc.running) / float64(inc.engine.options.Slots)
+	inc.mu.Unlock()
+	return inc.applySlowFactor(float64(inc.engine.options.PerToken) * (1 + occupancy))
 }
 
-func (l *life) slowed(length float64) time.Duration {
-	if factor := l.engine.Faults.Get().SlowFactor; factor > 0 {
-		length *= factor
+func (inc *incarnation) applySlowFactor(nanoseconds float64) time.Duration {
+	if factor := inc.engine.Faults.Get().SlowFactor; factor > 0 {
+		nanoseconds *= factor
 	}
-	return time.Duration(length)
+	return time.Duration(nanoseconds)
 }
 
-// queueTime estimates when the queue is short again, for Retry-After.
-func (l *life) queueTime() time.Duration {
-	options := &l.engine.options
-	run := options.FirstToken + defaultTokens*2*options.PerToken
-	return l.slowed(float64(run) * float64(options.QueueLimit) / float64(options.Slots))
+// estimateQueueTime estimates when the queue is short again, for Retry-After.
+func (inc *incarnation) estimateQueueTime() time.Duration {
+	options := &inc.engine.options
+	runTime := options.FirstToken + defaultTokens*2*options.PerToken
+	return inc.applySlowFactor(float64(runTime) * float64(options.QueueLimit) / float64(options.Slots))
 }
--- a/internal/standin/engine/bench_test.go
+++ b/internal/standin/engine/bench_test.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	patience = 10 * time.Second
-	tick     = 2 * time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
-// bench is a running engine and a client of it.
-type bench struct {
+// testEngine is a running engine and a client of it.
+type testEngine struct {
 	*Engine
 	t       *testing.T
 	client  peer.Client
 	address string
 }
 
-func newBench(t *testing.T, options Options) *bench {
-	b := &bench{
+func startEngine(t *testing.T, options Options) *testEngine {
+	b := &testEngine{
 		Engine: New(options),
 		t:      t,
 	}
@@ -42,8 +42,8 @@
 	return b
 }
 
-// quick has times that tests need not wait for.
-func quick() Options {
+// shortTimes has times that tests need not wait for.
+func shortTimes() Options {
 	return Options{
 		FirstToken:       time.Millisecond,
 		PerToken:         time.Millisecond,
@@ -53,7 +53,7 @@
 	}
 }
 
-func (b *bench) load(id ident.OrderID, model ident.ModelName, memory unit.Bytes) backend.Order {
+func (b *testEngine) loadOrder(id ident.OrderID, model ident.ModelName, memory unit.Bytes) backend.Order {
 	return backend.Order{
 		ID:          id,
 		Incarnation: b.Incarnation(),
@@ -64,14 +64,14 @@
 	}
 }
 
-func (b *bench) send(order backend.Order) (bool, string) {
+func (b *testEngine) sendOrder(order backend.Order) (bool, string) {
 	accepted, reason, err := b.client.SendOrder(context.Background(), b.address, order)
 	require.NoError(b.t, err)
 	return accepted, reason
 }
 
-// result is how an order ended, or empty.
-func (b *bench) result(id ident.OrderID) backend.OrderResult {
+// orderResult is how an order ended, or empty.
+func (b *testEngine) orderResult(id ident.OrderID) backend.OrderResult {
 	for _, settled := range b.Report().Settled {
 		if settled.ID == id {
 			return settled.Result
@@ -80,22 +80,22 @@
 	return ""
 }
 
-func (b *bench) settles(id ident.OrderID, want backend.OrderResult) {
+func (b *testEngine) requireResult(id ident.OrderID, want backend.OrderResult) {
 	b.t.Helper()
-	require.Eventually(b.t, func() bool { return b.result(id) != "" }, patience, tick)
-	require.Equal(b.t, want, b.result(id))
+	require.Eventually(b.t, func() bool { return b.orderResult(id) != "" }, waitTimeout, pollInterval)
+	require.Equal(b.t, want, b.orderResult(id))
 }
 
-// ready loads the model briefing.
-func (b *bench) ready() *bench {
+// loadBriefing loads the model briefing.
+func (b *testEngine) loadBriefing() *testEngine {
 	id := ident.OrderID("ready-" + b.Incarnation())
-	accepted, reason := b.send(b.load(id, "briefing", unit.Gibibyte))
+	accepted, reason := b.sendOrder(b.loadOrder(id, "briefing", unit.Gibibyte))
 	require.True(b.t, accepted, reason)
-	b.settles(id, backend.OrderDone)
+	b.requireResult(id, backend.OrderDone)
 	return b
 }
 
-func chat(attempt ident.AttemptID, model, message string, tokens int) peer.Call {
+func chatCall(attempt ident.AttemptID, model, message string, tokens int) peer.Call {
 	return peer.Call{
 		Body: []byte(`{"model":"` + model + `","stream":true,"max_tokens":` + strconv.Itoa(tokens) +
 			`,"messages":[{"role":"user","content":"` + message + `"}]}`),
@@ -105,8 +105,8 @@
 	}
 }
 
-// begin sends a chat and waits for its first chunk.
-func (b *bench) begin(call peer.Call) *peer.Stream {
+// startStream sends a chat and waits for its first chunk.
+func (b *testEngine) startStream(call peer.Call) *peer.Stream {
 	b.t.Helper()
 	stream, err := b.client.Chat(context.Background(), b.address, call)
 	require.NoError(b.t, err)
@@ -115,8 +115,8 @@
 	return stream
 }
 
-// finish reads a stream to its end or error.
-func finish(stream *peer.Stream) error {
+// readToEnd reads a stream to its end or error.
+func readToEnd(stream *peer.Stream) error {
 	defer stream.Close()
 	for {
 		event, err := stream.Next()
@@ -129,17 +129,17 @@
 	}
 }
 
-func (b *bench) run(call peer.Call) error {
+func (b *testEngine) runCall(call peer.Call) error {
 	stream, err := b.client.Chat(context.Background(), b.address, call)
 	if err != nil {
 		return err
 	}
-	return finish(stream)
+	return readToEnd(stream)
 }
 
-func (b *bench) refused(call peer.Call) *peer.Refusal {
+func (b *testEngine) requireRefusal(call peer.Call) *peer.Refusal {
 	b.t.Helper()
 	var refusal *peer.Refusal
-	require.ErrorAs(b.t, b.run(call), &refusal)
+	require.ErrorAs(b.t, b.runCall(call), &refusal)
 	return refusal
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// eventsKept bounds the cache events that can still be asked for, eventsServed
+	// maxCacheEvents bounds the cache events that can still be asked for, eventsServed
 	// those of one answer.
-	eventsKept   = 4096
-	eventsServed = 1024
+	maxCacheEvents     = 4096
+	maxEventsPerAnswer = 1024
 )
 
 // prefixCache is the least recently used cache of prompt prefixes, with the
 // events of its changes.
 type prefixCache struct {
-	capacity int
-	recent   *list.List // of cachedPrefix, the newest first
-	byPrefix map[uint64]*list.Element
-	number   int64
-	events   []backend.CacheEvent
+	capacity        int
+	recent          *list.List // of cachedPrefix, the newest first
+	byPrefix        map[uint64]*list.Element
+	lastEventNumber int64
+	events          []backend.CacheEvent
 }
 
 type cachedPrefix struct {
@@ -41,30 +41,30 @@
 
 // lookUpPrefixes returns the share of the chat's prefixes that were cached,
 // and caches all of them.
-func (l *life) lookUpPrefixes(chat *engineapi.Chat) float64 {
-	gaps := l.engine.Faults.Get().CacheEventGaps
+func (inc *incarnation) lookUpPrefixes(chat *engineapi.Chat) float64 {
+	gapInterval := inc.engine.Faults.Get().CacheEventGaps
 	prefixes := chat.Prefixes()
 	if len(prefixes) == 0 {
 		return 0
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
 	hits := 0
 	for _, prefix := range prefixes {
-		element, found := l.cache.byPrefix[prefix]
+		element, found := inc.cache.byPrefix[prefix]
 		if !found {
 			break
 		}
-		l.cache.recent.MoveToFront(element)
+		inc.cache.recent.MoveToFront(element)
 		hits++
 	}
 	for _, prefix := range prefixes[hits:] {
-		l.cache.store(ident.ModelName(chat.Model), prefix, gaps)
+		inc.cache.store(ident.ModelName(chat.Model), prefix, gapInterval)
 	}
 	return float64(hits) / float64(len(prefixes))
 }
 
-func (c *prefixCache) store(model ident.ModelName, prefix uint64, gaps int) {
+func (c *prefixCache) store(model ident.ModelName, prefix uint64, gapInterval int) {
 	if element, found := c.byPrefix[prefix]; found {
 		c.recent.MoveToFront(element)
 		return
@@ -74,36 +74,36 @@
 		prefix: prefix,
 	}
 	c.byPrefix[prefix] = c.recent.PushFront(entry)
-	c.tell(entry, true, gaps)
+	c.recordEvent(entry, true, gapInterval)
 	if c.recent.Len() > c.capacity {
 		oldest := c.recent.Remove(c.recent.Back()).(cachedPrefix)
 		delete(c.byPrefix, oldest.prefix)
-		c.tell(oldest, false, gaps)
+		c.recordEvent(oldest, false, gapInterval)
 	}
 }
 
-func (c *prefixCache) tell(entry cachedPrefix, stored bool, gaps int) {
-	c.number++
-	if gaps > 0 && c.number%int64(gaps) == 0 {
+func (c *prefixCache) recordEvent(entry cachedPrefix, stored bool, gapInterval int) {
+	c.lastEventNumber++
+	if gapInterval > 0 && c.lastEventNumber%int64(gapInterval) == 0 {
 		return
 	}
 	c.events = append(c.events, backend.CacheEvent{
-		Number: c.number,
+		Number: c.lastEventNumber,
 		Model:  entry.model,
 		Prefix: entry.prefix,
 		Stored: stored,
 	})
-	if over := len(c.events) - eventsKept; over > 0 {
-		c.events = slices.Delete(c.events, 0, over)
+	if excess := len(c.events) - maxCacheEvents; excess > 0 {
+		c.events = slices.Delete(c.events, 0, excess)
 	}
 }
 
-func (l *life) cacheEvents(after int64) []backend.CacheEvent {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	at, _ := slices.BinarySearchFunc(l.cache.events, after+1, func(event backend.CacheEvent, number int64) int {
+func (inc *incarnation) cacheEvents(after int64) []backend.CacheEvent {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	first, _ := slices.BinarySearchFunc(inc.cache.events, after+1, func(event backend.CacheEvent, number int64) int {
 		return int(event.Number - number)
 	})
-	newer := l.cache.events[at:]
-	return slices.Clone(newer[:min(len(newer), eventsServed)])
+	newer := inc.cache.events[first:]
+	return slices.Clone(newer[:min(len(newer), maxEventsPerAnswer)])
 }
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -65,8 +65,8 @@
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
-	life := e.current()
-	w.Header().Set(engineapi.HeaderIncarnation, string(life.incarnation))
+	current := e.current()
+	w.Header().Set(engineapi.HeaderIncarnation, string(current.id))
 	w.Header().Set(engineapi.HeaderAttempt, r.Header.Get(engineapi.HeaderAttempt))
 	body, ok := server.ReadBody(w, r)
 	if !ok {
@@ -77,55 +77,55 @@
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if e.Faults.Take(func(f *Faults) *int { return &f.ForeignAnswers }) {
+	if e.Faults.TakeOne(func(f *Faults) *int { return &f.ForeignAnswers }) {
 		w.Header().Set(engineapi.HeaderAttempt, foreignAttempt)
 		call.chat.Messages = []engineapi.Message{foreignMessage}
 	}
 	if e.isLeaving() {
-		e.ledger.refusedLeaving()
+		e.counters.countRefusedLeaving()
 		refuseNotRun(w, http.StatusServiceUnavailable, "engine is leaving")
 		return
 	}
-	ctx, leave := life.enter(r.Context(), call.attempt)
-	defer leave()
-	life.serve(ctx, w, call)
+	ctx, unregister := current.registerAttempt(r.Context(), call.attempt)
+	defer unregister()
+	current.serve(ctx, w, call)
 }
 
 // serve takes a call through the queue and runs it.
-func (l *life) serve(ctx context.Context, w http.ResponseWriter, call *call) {
-	if !l.isReady(call.chat.Model) {
+func (inc *incarnation) serve(ctx context.Context, w http.ResponseWriter, call *call) {
+	if !inc.isReady(call.chat.Model) {
 		refuseNotRun(w, http.StatusNotFound, "model is not ready here")
 		return
 	}
-	if err := l.acquire(ctx, call.priority, call.deadline); err != nil {
-		l.refuseQueued(w, err)
+	if err := inc.acquire(ctx, call.priority, call.deadline); err != nil {
+		inc.refuseWithoutSlot(w, err)
 		return
 	}
-	defer l.release()
-	taken, ready := l.use(call.chat.Model)
-	if !ready { // unloaded while the call waited
+	defer inc.release()
+	used, isReady := inc.acquireWeights(call.chat.Model)
+	if !isReady { // unloaded while the call waited
 		refuseNotRun(w, http.StatusNotFound, "model is no longer ready here")
 		return
 	}
-	defer l.unuse(taken)
-	l.engine.ledger.ran(call.request)
+	defer inc.releaseWeights(used)
+	inc.engine.counters.countRun(call.request)
 	run := &run{
-		life:    l,
-		ctx:     ctx,
-		w:       w,
-		call:    call,
-		version: taken.version,
+		incarnation: inc,
+		ctx:         ctx,
+		w:           w,
+		call:        call,
+		version:     used.version,
 	}
-	how := run.serve()
-	l.engine.ledger.ended(how)
-	if how != completed && how != endedEarly {
-		server.Cut()
+	result := run.serve()
+	inc.engine.counters.countOutcome(result)
+	if result != completed && result != endedEarly {
+		server.CutConnection()
 	}
 }
 
-func (l *life) refuseQueued(w http.ResponseWriter, err error) {
+func (inc *incarnation) refuseWithoutSlot(w http.ResponseWriter, err error) {
 	if errors.Is(err, errQueueFull) {
-		seconds := math.Ceil(l.queueTime().Seconds())
+		seconds := math.Ceil(inc.estimateQueueTime().Seconds())
 		w.Header().Set("Retry-After", strconv.Itoa(int(seconds)))
 		refuseNotRun(w, http.StatusTooManyRequests, err.Error())
 		return
@@ -134,7 +134,7 @@
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r bunrouter.Request) error {
-	if !e.current().cancelAttempt(ident.AttemptID(server.Param(r, "attempt"))) {
+	if !e.current().cancelAttempt(ident.AttemptID(server.PathParam(r, "attempt"))) {
 		w.WriteHeader(http.StatusNotFound)
 	}
 	return nil
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -125,16 +125,16 @@
 
 // Engine is the stand-in.
 type Engine struct {
-	Faults  fault.Switch[Faults]
-	options Options
-	server  server.Server
-	loads   httpsend.Client
-	ledger  ledger
+	Faults        fault.Switch[Faults]
+	options       Options
+	server        server.Server
+	weightsClient httpsend.Client
+	counters      counters
 
-	mu      sync.Mutex
-	life    *life
-	crashed bool
-	leaving bool
+	mu          sync.Mutex
+	incarnation *incarnation
+	crashed     bool
+	leaving     bool
 }
 
 // New makes an engine with empty memory.
@@ -142,29 +142,29 @@
 	e := &Engine{
 		options: options.withDefaults(),
 	}
-	e.life = newLife(e)
+	e.incarnation = newIncarnation(e)
 	return e
 }
 
 func (o Options) withDefaults() Options {
-	orDefault(&o.Memory, DefaultMemory)
-	orDefault(&o.Slots, DefaultSlots)
-	orDefault(&o.QueueLimit, DefaultQueueLimit)
-	orDefault(&o.FirstToken, DefaultFirstToken)
-	orDefault(&o.PerToken, DefaultPerToken)
-	orDefault(&o.LoadDelay, DefaultLoadDelay)
-	orDefault(&o.AdapterLoadDelay, DefaultAdapterLoadDelay)
-	orDefault(&o.CacheEntries, DefaultCacheEntries)
-	orDefault(&o.RestartAfter, DefaultRestartAfter)
+	setDefault(&o.Memory, DefaultMemory)
+	setDefault(&o.Slots, DefaultSlots)
+	setDefault(&o.QueueLimit, DefaultQueueLimit)
+	setDefault(&o.FirstToken, DefaultFirstToken)
+	setDefault(&o.PerToken, DefaultPerToken)
+	setDefault(&o.LoadDelay, DefaultLoadDelay)
+	setDefault(&o.AdapterLoadDelay, DefaultAdapterLoadDelay)
+	setDefault(&o.CacheEntries, DefaultCacheEntries)
+	setDefault(&o.RestartAfter, DefaultRestartAfter)
 	if o.Name == "" {
 		o.Name = "engine"
 	}
 	return o
 }
 
-func orDefault[T int | unit.Bytes | time.Duration](value *T, otherwise T) {
+func setDefault[T int | unit.Bytes | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
-		*value = otherwise
+		*value = fallback
 	}
 }
 
@@ -179,11 +179,11 @@
 	router.GET(PathStats, server.Route(e.serveStats))
 	router.GET(fault.Path, server.Route(e.Faults.ServeHTTP))
 	router.POST(fault.Path, server.Route(e.Faults.ServeHTTP))
-	address, err := e.server.Start(listen, e.server.Guard(e.gate(), router))
+	address, err := e.server.Start(listen, e.server.ApplyFaults(e.requestFaults(), router))
 	if err != nil {
 		return "", err
 	}
-	e.server.Go(e.keepHistory)
+	e.server.Go(e.recordReports)
 	return address, nil
 }
 
@@ -199,8 +199,8 @@
 func (e *Engine) Stop() error {
 	e.Leave()
 	err := e.server.Stop()
-	e.current().end()
-	e.loads.Close()
+	e.current().terminate()
+	e.weightsClient.Close()
 	return err
 }
 
@@ -214,31 +214,31 @@
 		return
 	}
 	e.crashed = true
-	e.ledger.crashed()
-	e.life.end()
-	restart := e.options.RestartAfter
-	if set := time.Duration(e.Faults.Get().RestartAfter); set > 0 {
-		restart = set
+	e.counters.countCrash()
+	e.incarnation.terminate()
+	restartDelay := e.options.RestartAfter
+	if override := time.Duration(e.Faults.Get().RestartAfter); override > 0 {
+		restartDelay = override
 	}
-	e.server.Crash(restart, e.revive)
+	e.server.Crash(restartDelay, e.restart)
 }
 
-func (e *Engine) revive() {
+func (e *Engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.life = newLife(e)
+	e.incarnation = newIncarnation(e)
 	e.crashed = false
 }
 
 // Incarnation is the engine's life of now.
 func (e *Engine) Incarnation() ident.Incarnation {
-	return e.current().incarnation
+	return e.current().id
 }
 
-func (e *Engine) current() *life {
+func (e *Engine) current() *incarnation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.incarnation
 }
 
 func (e *Engine) isLeaving() bool {
@@ -251,11 +251,11 @@
 	return !e.options.IgnoreFencing && !e.Faults.Get().IgnoreFencing
 }
 
-func (e *Engine) gate() server.Gate {
-	return server.Gate{
-		Changed: e.Faults.Changed,
-		Frozen:  func() bool { return e.Faults.Get().FreezeRequests },
-		Down:    func() bool { return e.Faults.Get().Down },
-		Open:    []string{fault.Path, PathStats},
+func (e *Engine) requestFaults() server.RequestFaults {
+	return server.RequestFaults{
+		Changed:     e.Faults.Changed,
+		IsFrozen:    func() bool { return e.Faults.Get().FreezeRequests },
+		IsDown:      func() bool { return e.Faults.Get().Down },
+		ExemptPaths: []string{fault.Path, PathStats},
 	}
 }
--- a/internal/standin/engine/ledger.go
+++ b/internal/standin/engine/ledger.go
@@ -10,9 +10,9 @@
 	"cicadaloom/internal/standin/server"
 )
 
-// runsKept bounds the requests whose runs are counted. The first ones are
+// maxCountedRequests bounds the requests whose runs are counted. The first ones are
 // kept, so that a count never begins anew; the rest are RunsNotKept.
-const runsKept = 1 << 17
+const maxCountedRequests = 1 << 17
 
 // Stats are the engine's counters, over all its lives.
 type Stats struct {
@@ -34,24 +34,24 @@
 	RefusedLeaving int `json:",omitempty"`
 }
 
-// ledger counts. Its zero value is empty.
-type ledger struct {
+// counters counts. Its zero value is empty.
+type counters struct {
 	mu    sync.Mutex
 	stats Stats
 }
 
-func (l *ledger) count(change func(*Stats)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	change(&l.stats)
+func (c *counters) update(change func(*Stats)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	change(&c.stats)
 }
 
-func (l *ledger) ran(request ident.RequestID) {
-	l.count(func(s *Stats) {
+func (c *counters) countRun(request ident.RequestID) {
+	c.update(func(s *Stats) {
 		if s.Runs == nil {
 			s.Runs = make(map[ident.RequestID]int)
 		}
-		if _, known := s.Runs[request]; !known && len(s.Runs) >= runsKept {
+		if _, known := s.Runs[request]; !known && len(s.Runs) >= maxCountedRequests {
 			s.RunsNotKept++
 			return
 		}
@@ -59,45 +59,45 @@
 	})
 }
 
-func (l *ledger) ended(how ending) {
-	l.count(func(s *Stats) {
-		switch how {
+func (c *counters) countOutcome(result outcome) {
+	c.update(func(s *Stats) {
+		switch result {
 		case completed:
 			s.Completed++
 		case cancelled:
 			s.Cancelled++
-		case cutOff, endedEarly:
+		case connectionCut, endedEarly:
 			s.Failed++
 		}
 	})
 }
 
-func (l *ledger) token() {
-	l.count(func(s *Stats) { s.TokensGenerated++ })
+func (c *counters) countToken() {
+	c.update(func(s *Stats) { s.TokensGenerated++ })
 }
 
-func (l *ledger) orderReceived() {
-	l.count(func(s *Stats) { s.OrdersReceived++ })
+func (c *counters) countOrder() {
+	c.update(func(s *Stats) { s.OrdersReceived++ })
 }
 
-func (l *ledger) overcommitted() {
-	l.count(func(s *Stats) { s.Overcommits++ })
+func (c *counters) countOvercommit() {
+	c.update(func(s *Stats) { s.Overcommits++ })
 }
 
-func (l *ledger) crashed() {
-	l.count(func(s *Stats) { s.Crashes++ })
+func (c *counters) countCrash() {
+	c.update(func(s *Stats) { s.Crashes++ })
 }
 
-func (l *ledger) refusedLeaving() {
-	l.count(func(s *Stats) { s.RefusedLeaving++ })
+func (c *counters) countRefusedLeaving() {
+	c.update(func(s *Stats) { s.RefusedLeaving++ })
 }
 
 // Stats returns the counters.
 func (e *Engine) Stats() Stats {
-	e.ledger.mu.Lock()
-	stats := e.ledger.stats
+	e.counters.mu.Lock()
+	stats := e.counters.stats
 	stats.Runs = maps.Clone(stats.Runs)
-	e.ledger.mu.Unlock()
+	e.counters.mu.Unlock()
 	stats.Incarnation = e.Incarnation()
 	return stats
 }
--- a/internal/standin/engine/memory.go
+++ b/internal/standin/engine/memory.go
@@ -11,90 +11,90 @@
 // resident is a set of weights in memory. Its fields are used with mu held.
 type resident struct {
 	backend.Resident
-	users     int  // requests that run on it
-	unloading bool // takes no new request, goes when users is 0
-	// loads are the orders that wait for it to be ready, unloads those that
+	activeRuns int  // requests that run on it
+	unloading  bool // takes no new request, goes when users is 0
+	// loadOrders are the orders that wait for it to be ready, unloads those that
 	// wait for it to be gone.
-	loads   []ident.OrderID
-	unloads []ident.OrderID
-	cancel  func() // ends its load
+	loadOrders   []ident.OrderID
+	unloadOrders []ident.OrderID
+	cancelLoad   func() // ends its load
 }
 
-func (r *resident) is(model ident.ModelName, adapter ident.AdapterName, version ident.Version) bool {
+func (r *resident) matches(model ident.ModelName, adapter ident.AdapterName, version ident.Version) bool {
 	return r.Model == model && r.Adapter == adapter && r.Version == version
 }
 
 // isReady tells whether a model or adapter of this name can be run.
-func (l *life) isReady(name string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.find(name) != nil
+func (inc *incarnation) isReady(name string) bool {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	return inc.findReady(name) != nil
 }
 
-// use is what one run keeps in memory.
-type use struct {
+// acquireWeights is what one run keeps in memory.
+type weightsUse struct {
 	weights *resident
 	base    *resident // nil for a model itself
 	version ident.Version
 }
 
-// use takes the weights of a name for a run; false if they are not ready.
-func (l *life) use(name string) (use, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	weights := l.find(name)
+// acquireWeights takes the weights of a name for a run; false if they are not ready.
+func (inc *incarnation) acquireWeights(name string) (weightsUse, bool) {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	weights := inc.findReady(name)
 	if weights == nil {
-		return use{}, false
+		return weightsUse{}, false
 	}
-	taken := use{
+	used := weightsUse{
 		weights: weights,
-		base:    l.base(weights),
+		base:    inc.findBase(weights),
 		version: weights.Version,
 	}
-	weights.users++
-	if taken.base != nil {
-		taken.base.users++
+	weights.activeRuns++
+	if used.base != nil {
+		used.base.activeRuns++
 	}
-	return taken, true
+	return used, true
 }
 
-// unuse ends a run's use, and the unload that waited for it.
-func (l *life) unuse(taken use) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	taken.weights.users--
-	l.drop(taken.weights)
-	if taken.base != nil {
-		taken.base.users--
-		l.drop(taken.base)
+// releaseWeights ends a run's use, and the unload that waited for it.
+func (inc *incarnation) releaseWeights(used weightsUse) {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	used.weights.activeRuns--
+	inc.removeIfUnused(used.weights)
+	if used.base != nil {
+		used.base.activeRuns--
+		inc.removeIfUnused(used.base)
 	}
 }
 
-// find is called with mu held. Of several versions the one loaded last serves.
-func (l *life) find(name string) *resident {
-	for i := len(l.residents) - 1; i >= 0; i-- {
-		weights := l.residents[i]
+// findReady is called with mu held. Of several versions the one loaded last serves.
+func (inc *incarnation) findReady(name string) *resident {
+	for i := len(inc.residents) - 1; i >= 0; i-- {
+		weights := inc.residents[i]
 		if !weights.Ready || weights.unloading {
 			continue
 		}
 		if weights.Adapter == "" && string(weights.Model) == name {
 			return weights
 		}
-		if weights.Adapter != "" && string(weights.Adapter) == name && l.base(weights) != nil {
+		if weights.Adapter != "" && string(weights.Adapter) == name && inc.findBase(weights) != nil {
 			return weights
 		}
 	}
 	return nil
 }
 
-// base is the model that an adapter runs on, nil for a model itself or where
+// findBase is the model that an adapter runs on, nil for a model itself or where
 // there is none. It is called with mu held.
-func (l *life) base(weights *resident) *resident {
+func (inc *incarnation) findBase(weights *resident) *resident {
 	if weights.Adapter == "" {
 		return nil
 	}
-	for i := len(l.residents) - 1; i >= 0; i-- {
-		base := l.residents[i]
+	for i := len(inc.residents) - 1; i >= 0; i-- {
+		base := inc.residents[i]
 		if base.Model == weights.Model && base.Adapter == "" && base.Ready && !base.unloading {
 			return base
 		}
@@ -102,25 +102,25 @@
 	return nil
 }
 
-func (l *life) taken() unit.Bytes {
-	var taken unit.Bytes
-	for _, weights := range l.residents {
-		taken += weights.Memory
+func (inc *incarnation) usedMemory() unit.Bytes {
+	var used unit.Bytes
+	for _, weights := range inc.residents {
+		used += weights.Memory
 	}
-	return taken
+	return used
 }
 
-// drop takes weights out of memory if they are to go and nobody uses them. It
-// is called with mu held.
-func (l *life) drop(weights *resident) {
-	if !weights.unloading || weights.users > 0 {
+// removeIfUnused takes weights out of memory if they are to go and nobody uses them. It
+// matches called with mu held.
+func (inc *incarnation) removeIfUnused(weights *resident) {
+	if !weights.unloading || weights.activeRuns > 0 {
 		return
 	}
-	at := slices.Index(l.residents, weights)
-	if at < 0 {
+	index := slices.Index(inc.residents, weights)
+	if index < 0 {
 		return
 	}
-	l.residents = slices.Delete(l.residents, at, at+1)
-	l.settle(backend.OrderFailed, weights.loads...)
-	l.settle(backend.OrderDone, weights.unloads...)
+	inc.residents = slices.Delete(inc.residents, index, index+1)
+	inc.recordSettled(backend.OrderFailed, weights.loadOrders...)
+	inc.recordSettled(backend.OrderDone, weights.unloadOrders...)
 }
--- a/internal/standin/engine/openai_test.go
+++ b/internal/standin/engine/openai_test.go
@@ -11,8 +11,8 @@
 )
 
 // The form is the API's if its own client reads it, streamed and whole.
-func TestTheAPIsOwnClientReadsTheAnswers(t *testing.T) {
-	b := newBench(t, quick()).ready()
+func TestOpenAIClientReadsAnswers(t *testing.T) {
+	b := startEngine(t, shortTimes()).loadBriefing()
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := openai.NewClient(
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// settledKept bounds the settled orders in a report, seenKept the order ids
+	// maxSettledOrders bounds the settled orders in a report, seenKept the order ids
 	// that are known as executed.
-	settledKept = 256
-	seenKept    = 1 << 16
-	// loadAnswerLimit bounds the weight store's answer.
-	loadAnswerLimit = 4 << 10
+	maxSettledOrders = 256
+	maxSeenOrders    = 1 << 16
+	// maxLoadAnswerBytes bounds the weight store's answer.
+	maxLoadAnswerBytes = 4 << 10
 )
 
 // orderSet remembers the newest seenKept order ids.
 type orderSet struct {
-	ids   map[ident.OrderID]struct{}
-	order []ident.OrderID
+	ids         map[ident.OrderID]struct{}
+	oldestFirst []ident.OrderID
 }
 
 // add tells whether the id is new.
@@ -39,10 +39,10 @@
 		s.ids = make(map[ident.OrderID]struct{})
 	}
 	s.ids[id] = struct{}{}
-	s.order = append(s.order, id)
-	if len(s.order) > seenKept {
-		delete(s.ids, s.order[0])
-		s.order = s.order[1:]
+	s.oldestFirst = append(s.oldestFirst, id)
+	if len(s.oldestFirst) > maxSeenOrders {
+		delete(s.ids, s.oldestFirst[0])
+		s.oldestFirst = s.oldestFirst[1:]
 	}
 	return true
 }
@@ -57,8 +57,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.ledger.orderReceived()
-	answer := e.receive(order)
+	e.counters.countOrder()
+	answer := e.receiveOrder(order)
 	status := http.StatusAccepted
 	if !answer.Accepted {
 		status = http.StatusConflict
@@ -67,26 +67,26 @@
 	server.WriteJSON(w, status, body, err)
 }
 
-func (e *Engine) receive(order backend.Order) engineapi.OrderAnswer {
+func (e *Engine) receiveOrder(order backend.Order) engineapi.OrderAnswer {
 	accepted := engineapi.OrderAnswer{
 		Accepted: true,
 	}
-	life := e.current()
-	if e.Faults.Take(func(f *Faults) *int { return &f.LoseOrders }) {
+	current := e.current()
+	if e.Faults.TakeOne(func(f *Faults) *int { return &f.LoseOrders }) {
 		return accepted
 	}
-	if e.Faults.Take(func(f *Faults) *int { return &f.DelayOrders }) {
+	if e.Faults.TakeOne(func(f *Faults) *int { return &f.DelayOrders }) {
 		delay := time.Duration(e.Faults.Get().DelayOrdersBy)
 		e.server.Go(func() error {
-			if server.Pause(life.ctx, delay) {
+			if server.Pause(current.ctx, delay) {
 				// The report says how it ends, as for any order.
-				_ = life.takeOrder(order)
+				_ = current.executeOrder(order)
 			}
 			return nil
 		})
 		return accepted
 	}
-	if err := life.takeOrder(order); err != nil {
+	if err := current.executeOrder(order); err != nil {
 		return engineapi.OrderAnswer{
 			Reason: err.Error(),
 		}
@@ -94,75 +94,75 @@
 	return accepted
 }
 
-// takeOrder carries an order out, or says why the engine refuses it.
-func (l *life) takeOrder(order backend.Order) error {
-	checks := l.engine.checksFencing()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.seen.add(order.ID) {
+// executeOrder carries an order out, or says why the engine refuses it.
+func (inc *incarnation) executeOrder(order backend.Order) error {
+	checksFencing := inc.engine.checksFencing()
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	if !inc.seenOrders.add(order.ID) {
 		return errors.New("order was executed before")
 	}
-	if checks {
-		if err := l.checkFencing(order); err != nil {
-			l.settle(backend.OrderRefused, order.ID)
+	if checksFencing {
+		if err := inc.checkFencing(order); err != nil {
+			inc.recordSettled(backend.OrderRefused, order.ID)
 			return err
 		}
 	}
-	l.fencing = max(l.fencing, order.Fencing)
+	inc.fencing = max(inc.fencing, order.Fencing)
 	switch order.Kind {
 	case backend.LoadModel, backend.LoadAdapter:
-		l.orderLoad(order)
+		inc.startLoad(order)
 	case backend.UnloadModel, backend.UnloadAdapter:
-		l.orderUnload(order)
+		inc.startUnload(order)
 	}
 	return nil
 }
 
-func (l *life) checkFencing(order backend.Order) error {
-	if order.Incarnation != l.incarnation {
+func (inc *incarnation) checkFencing(order backend.Order) error {
+	if order.Incarnation != inc.id {
 		return errors.Errorf("order is for incarnation %q", order.Incarnation)
 	}
-	if order.Fencing < l.fencing {
-		return errors.Errorf("fencing number %d is smaller than %d", order.Fencing, l.fencing)
+	if order.Fencing < inc.fencing {
+		return errors.Errorf("fencing number %d is smaller than %d", order.Fencing, inc.fencing)
 	}
 	return nil
 }
 
-// settle is called with mu held.
-func (l *life) settle(result backend.OrderResult, ids ...ident.OrderID) {
+// recordSettled is called with mu held.
+func (inc *incarnation) recordSettled(result backend.OrderResult, ids ...ident.OrderID) {
 	for _, id := range ids {
-		l.settled = append(l.settled, backend.SettledOrder{
+		inc.settled = append(inc.settled, backend.SettledOrder{
 			ID:     id,
 			Result: result,
 		})
 	}
-	if over := len(l.settled) - settledKept; over > 0 {
-		l.settled = slices.Delete(l.settled, 0, over)
+	if excess := len(inc.settled) - maxSettledOrders; excess > 0 {
+		inc.settled = slices.Delete(inc.settled, 0, excess)
 	}
 }
 
-// resident is called with mu held.
-func (l *life) resident(order *backend.Order) *resident {
-	at := slices.IndexFunc(l.residents, func(weights *resident) bool {
-		return weights.is(order.Model, order.Adapter, order.Version)
+// findResident is called with mu held.
+func (inc *incarnation) findResident(order *backend.Order) *resident {
+	index := slices.IndexFunc(inc.residents, func(weights *resident) bool {
+		return weights.matches(order.Model, order.Adapter, order.Version)
 	})
-	if at < 0 {
+	if index < 0 {
 		return nil
 	}
-	return l.residents[at]
+	return inc.residents[index]
 }
 
-// orderLoad is called with mu held.
-func (l *life) orderLoad(order backend.Order) {
-	if weights := l.resident(&order); weights != nil {
-		l.orderLoadAgain(weights, order.ID)
+// startLoad is called with mu held.
+func (inc *incarnation) startLoad(order backend.Order) {
+	if weights := inc.findResident(&order); weights != nil {
+		inc.joinLoad(weights, order.ID)
 		return
 	}
-	if !l.fits(&order) {
-		l.settle(backend.OrderFailed, order.ID)
+	if !inc.canLoad(&order) {
+		inc.recordSettled(backend.OrderFailed, order.ID)
 		return
 	}
-	ctx, cancel := context.WithCancel(l.ctx)
+	ctx, cancel := context.WithCancel(inc.ctx)
 	weights := &resident{
 		Resident: backend.Resident{
 			Model:   order.Model,
@@ -170,32 +170,32 @@
 			Version: order.Version,
 			Memory:  order.Memory,
 		},
-		loads:  []ident.OrderID{order.ID},
-		cancel: cancel,
+		loadOrders: []ident.OrderID{order.ID},
+		cancelLoad: cancel,
 	}
-	l.residents = append(l.residents, weights)
-	l.engine.server.Go(func() error {
+	inc.residents = append(inc.residents, weights)
+	inc.engine.server.Go(func() error {
 		defer cancel()
-		l.loaded(weights, l.engine.fetch(ctx, &order))
+		inc.finishLoad(weights, inc.engine.fetchWeights(ctx, &order))
 		return nil
 	})
 }
 
-func (l *life) orderLoadAgain(weights *resident, id ident.OrderID) {
+func (inc *incarnation) joinLoad(weights *resident, id ident.OrderID) {
 	switch {
 	case weights.unloading:
-		l.settle(backend.OrderFailed, id)
+		inc.recordSettled(backend.OrderFailed, id)
 	case weights.Ready:
-		l.settle(backend.OrderDone, id)
+		inc.recordSettled(backend.OrderDone, id)
 	default:
-		weights.loads = append(weights.loads, id)
+		weights.loadOrders = append(weights.loadOrders, id)
 	}
 }
 
-// fits checks what a load needs; it is called with mu held. A load over the
+// canLoad checks what a load needs; it is called with mu held. A load over the
 // free memory is what the system must never order: it is counted, since an
 // engine that obeyed would have died of it.
-func (l *life) fits(order *backend.Order) bool {
+func (inc *incarnation) canLoad(order *backend.Order) bool {
 	if order.Kind == backend.LoadAdapter {
 		adapter := resident{
 			Resident: backend.Resident{
@@ -203,19 +203,19 @@
 				Adapter: order.Adapter,
 			},
 		}
-		if l.base(&adapter) == nil {
+		if inc.findBase(&adapter) == nil {
 			return false
 		}
 	}
-	if l.taken()+order.Memory > l.engine.options.Memory {
-		l.engine.ledger.overcommitted()
+	if inc.usedMemory()+order.Memory > inc.engine.options.Memory {
+		inc.engine.counters.countOvercommit()
 		return false
 	}
 	return true
 }
 
-// fetch passes the time of a load.
-func (e *Engine) fetch(ctx context.Context, order *backend.Order) error {
+// fetchWeights passes the time of a load.
+func (e *Engine) fetchWeights(ctx context.Context, order *backend.Order) error {
 	if e.options.Weights == "" {
 		delay := e.options.LoadDelay
 		if order.Kind == backend.LoadAdapter {
@@ -235,13 +235,13 @@
 	if err != nil {
 		return err
 	}
-	status, _, err := e.loads.Fetch(httpsend.Request{
+	status, _, err := e.weightsClient.Fetch(httpsend.Request{
 		Context: ctx,
 		Method:  http.MethodPost,
 		Address: e.options.Weights,
 		Path:    engineapi.PathLoads,
 		Body:    body,
-	}, loadAnswerLimit)
+	}, maxLoadAnswerBytes)
 	if err != nil {
 		return err
 	}
@@ -251,56 +251,56 @@
 	return nil
 }
 
-// loaded ends a load. Weights that were ordered out meanwhile are gone already.
-func (l *life) loaded(weights *resident, err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !slices.Contains(l.residents, weights) {
+// finishLoad ends a load. Weights that were ordered out meanwhile are gone already.
+func (inc *incarnation) finishLoad(weights *resident, err error) {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	if !slices.Contains(inc.residents, weights) {
 		return
 	}
 	if err != nil {
 		weights.unloading = true
-		l.drop(weights)
+		inc.removeIfUnused(weights)
 		return
 	}
 	weights.Ready = true
-	l.settle(backend.OrderDone, weights.loads...)
-	weights.loads = nil
+	inc.recordSettled(backend.OrderDone, weights.loadOrders...)
+	weights.loadOrders = nil
 }
 
-// orderUnload is called with mu held. The memory is free when the last run on
+// startUnload is called with mu held. The memory is free when the last run on
 // the weights ends: no request in flight is cut.
-func (l *life) orderUnload(order backend.Order) {
-	weights := l.resident(&order)
+func (inc *incarnation) startUnload(order backend.Order) {
+	weights := inc.findResident(&order)
 	if weights == nil {
-		l.settle(backend.OrderDone, order.ID)
+		inc.recordSettled(backend.OrderDone, order.ID)
 		return
 	}
-	weights.unloads = append(weights.unloads, order.ID)
-	l.unload(weights)
+	weights.unloadOrders = append(weights.unloadOrders, order.ID)
+	inc.unload(weights)
 	if order.Kind == backend.UnloadModel {
-		l.unloadOrphans(order.Model)
+		inc.unloadOrphanAdapters(order.Model)
 	}
 }
 
-func (l *life) unload(weights *resident) {
+func (inc *incarnation) unload(weights *resident) {
 	weights.unloading = true
 	weights.Ready = false
-	weights.cancel()
-	l.drop(weights)
+	weights.cancelLoad()
+	inc.removeIfUnused(weights)
 }
 
-// unloadOrphans drops the adapters of a model of which no version stays.
-func (l *life) unloadOrphans(model ident.ModelName) {
-	stays := func(weights *resident) bool {
+// unloadOrphanAdapters drops the adapters of a model of which no version stays.
+func (inc *incarnation) unloadOrphanAdapters(model ident.ModelName) {
+	isKept := func(weights *resident) bool {
 		return weights.Model == model && weights.Adapter == "" && !weights.unloading
 	}
-	if slices.ContainsFunc(l.residents, stays) {
+	if slices.ContainsFunc(inc.residents, isKept) {
 		return
 	}
-	for _, weights := range slices.Clone(l.residents) {
+	for _, weights := range slices.Clone(inc.residents) {
 		if weights.Model == model && weights.Adapter != "" {
-			l.unload(weights)
+			inc.unload(weights)
 		}
 	}
 }
--- a/internal/standin/engine/orders_test.go
+++ b/internal/standin/engine/orders_test.go
@@ -17,47 +17,47 @@
 
 // All answers of a server stop: two planners each found room for a model, both
 // loaded it, and the engine died for lack of memory. The stand-in counts it.
-func TestALoadOverTheFreeMemoryIsCounted(t *testing.T) {
-	options := quick()
+func TestOvercommittedLoadIsCounted(t *testing.T) {
+	options := shortTimes()
 	options.Memory = 10
 	options.LoadDelay = time.Hour
-	b := newBench(t, options)
-	b.send(b.load("ord-1", "briefing", 6))
+	b := startEngine(t, options)
+	b.sendOrder(b.loadOrder("ord-1", "briefing", 6))
 	require.False(t, b.Report().Residents[0].Ready, "memory is taken while it loads")
-	accepted, _ := b.send(b.load("ord-2", "summary", 5))
+	accepted, _ := b.sendOrder(b.loadOrder("ord-2", "summary", 5))
 	require.True(t, accepted)
-	b.settles("ord-2", backend.OrderFailed)
+	b.requireResult("ord-2", backend.OrderFailed)
 	require.Equal(t, 1, b.Stats().Overcommits)
-	b.send(b.load("ord-3", "summary", 4))
+	b.sendOrder(b.loadOrder("ord-3", "summary", 4))
 	require.Len(t, b.Report().Residents, 2)
 	require.Equal(t, 1, b.Stats().Overcommits)
 }
 
 // A paused former leader wakes up and orders a model out that the new leader
 // counts on. An engine that checks fencing numbers refuses; others obey.
-func TestAnOldOrderIsRefusedWhereFencingIsChecked(t *testing.T) {
-	b := newBench(t, quick())
-	newer := b.load("ord-1", "briefing", 1)
+func TestStaleFencingNumberIsRefused(t *testing.T) {
+	b := startEngine(t, shortTimes())
+	newer := b.loadOrder("ord-1", "briefing", 1)
 	newer.Fencing = 7
-	accepted, _ := b.send(newer)
+	accepted, _ := b.sendOrder(newer)
 	require.True(t, accepted)
-	b.settles("ord-1", backend.OrderDone)
+	b.requireResult("ord-1", backend.OrderDone)
 
-	older := b.load("ord-2", "summary", 1)
+	older := b.loadOrder("ord-2", "summary", 1)
 	older.Fencing = 6
-	accepted, reason := b.send(older)
+	accepted, reason := b.sendOrder(older)
 	require.False(t, accepted)
 	require.Contains(t, reason, "fencing number 6 is smaller than 7")
-	b.settles("ord-2", backend.OrderRefused)
+	b.requireResult("ord-2", backend.OrderRefused)
 
-	stray := b.load("ord-3", "summary", 1)
+	stray := b.loadOrder("ord-3", "summary", 1)
 	stray.Fencing = 7
 	stray.Incarnation = "inc-of-another-life"
-	accepted, reason = b.send(stray)
+	accepted, reason = b.sendOrder(stray)
 	require.False(t, accepted)
 	require.Contains(t, reason, "incarnation")
 
-	accepted, reason = b.send(newer)
+	accepted, reason = b.sendOrder(newer)
 	require.False(t, accepted)
 	require.Contains(t, reason, "executed before")
 
@@ -66,26 +66,26 @@
 	})
 	require.False(t, b.Report().ChecksFencing)
 	older.ID = "ord-4"
-	accepted, _ = b.send(older)
+	accepted, _ = b.sendOrder(older)
 	require.True(t, accepted)
-	b.settles("ord-4", backend.OrderDone)
+	b.requireResult("ord-4", backend.OrderDone)
 	require.EqualValues(t, 7, b.Report().Fencing)
 }
 
 // An order is answered 202 and never heard of again, or has its effect when
 // the plan has long moved on.
-func TestOrdersAreLostOrLate(t *testing.T) {
-	b := newBench(t, quick())
+func TestLostAndDelayedOrders(t *testing.T) {
+	b := startEngine(t, shortTimes())
 	b.Faults.Set(Faults{
 		LoseOrders: 1,
 	})
-	lost := b.load("ord-1", "briefing", 1)
-	accepted, _ := b.send(lost)
+	lost := b.loadOrder("ord-1", "briefing", 1)
+	accepted, _ := b.sendOrder(lost)
 	require.True(t, accepted)
 	require.Empty(t, b.Report().Residents)
-	accepted, _ = b.send(lost)
+	accepted, _ = b.sendOrder(lost)
 	require.True(t, accepted, "a lost order was never seen")
-	b.settles("ord-1", backend.OrderDone)
+	b.requireResult("ord-1", backend.OrderDone)
 
 	for _, ignores := range []bool{false, true} {
 		b.Faults.Set(Faults{
@@ -93,88 +93,88 @@
 			DelayOrdersBy: fault.Duration(30 * time.Millisecond),
 			IgnoreFencing: ignores,
 		})
-		late := b.load(ident.OrderID(fmt.Sprintf("late-%t", ignores)), "summary", 1)
-		accepted, _ = b.send(late)
+		late := b.loadOrder(ident.OrderID(fmt.Sprintf("late-%t", ignores)), "summary", 1)
+		accepted, _ = b.sendOrder(late)
 		require.True(t, accepted)
-		overtaking := b.load(ident.OrderID(fmt.Sprintf("overtaking-%t", ignores)), "desk", 1)
+		overtaking := b.loadOrder(ident.OrderID(fmt.Sprintf("overtaking-%t", ignores)), "desk", 1)
 		overtaking.Fencing = 9
-		accepted, _ = b.send(overtaking)
+		accepted, _ = b.sendOrder(overtaking)
 		require.True(t, accepted)
 		want := backend.OrderRefused
 		if ignores {
 			want = backend.OrderDone
 		}
-		b.settles(late.ID, want)
+		b.requireResult(late.ID, want)
 	}
 	require.Equal(t, 6, b.Stats().OrdersReceived)
 }
 
 // A chase crew's briefing is cut since its model was ordered out meanwhile.
-func TestAnUnloadWaitsForTheRunsOnIt(t *testing.T) {
-	options := quick()
+func TestUnloadWaitsForRunningRequests(t *testing.T) {
+	options := shortTimes()
 	options.PerToken = 5 * time.Millisecond
-	b := newBench(t, options).ready()
-	stream := b.begin(chat("att-1", "briefing", "x", 20))
-	unload := b.load("ord-2", "briefing", 0)
+	b := startEngine(t, options).loadBriefing()
+	stream := b.startStream(chatCall("att-1", "briefing", "x", 20))
+	unload := b.loadOrder("ord-2", "briefing", 0)
 	unload.Kind = backend.UnloadModel
-	accepted, _ := b.send(unload)
+	accepted, _ := b.sendOrder(unload)
 	require.True(t, accepted)
-	require.True(t, b.refused(chat("att-2", "briefing", "x", 1)).NotRun)
+	require.True(t, b.requireRefusal(chatCall("att-2", "briefing", "x", 1)).NotRun)
 	require.Equal(t, unit.Gibibyte, b.Report().Residents[0].Memory, "still taken")
-	require.NoError(t, finish(stream))
-	b.settles("ord-2", backend.OrderDone)
+	require.NoError(t, readToEnd(stream))
+	b.requireResult("ord-2", backend.OrderDone)
 	require.Empty(t, b.Report().Residents)
 }
 
-func TestAdaptersComeAndGoWithTheirModel(t *testing.T) {
-	b := newBench(t, quick())
-	adapter := b.load("early", "briefing", 1)
+func TestAdaptersFollowTheirModel(t *testing.T) {
+	b := startEngine(t, shortTimes())
+	adapter := b.loadOrder("early", "briefing", 1)
 	adapter.Kind = backend.LoadAdapter
 	adapter.Adapter = "wind"
-	b.send(adapter)
-	b.settles("early", backend.OrderFailed)
-	b.ready()
+	b.sendOrder(adapter)
+	b.requireResult("early", backend.OrderFailed)
+	b.loadBriefing()
 	adapter.ID = "late"
-	b.send(adapter)
-	b.settles("late", backend.OrderDone)
-	require.NoError(t, b.run(chat("att-1", "wind", "x", 3)))
+	b.sendOrder(adapter)
+	b.requireResult("late", backend.OrderDone)
+	require.NoError(t, b.runCall(chatCall("att-1", "wind", "x", 3)))
 
-	unload := b.load("unload", "briefing", 0)
+	unload := b.loadOrder("unload", "briefing", 0)
 	unload.Kind = backend.UnloadModel
-	b.send(unload)
-	b.settles("unload", backend.OrderDone)
+	b.sendOrder(unload)
+	b.requireResult("unload", backend.OrderDone)
 	require.Empty(t, b.Report().Residents)
-	require.True(t, b.refused(chat("att-2", "wind", "x", 3)).NotRun)
+	require.True(t, b.requireRefusal(chatCall("att-2", "wind", "x", 3)).NotRun)
 }
 
-func TestLoadsComeFromTheWeightStore(t *testing.T) {
+func TestLoadsUseWeightStore(t *testing.T) {
 	store := weights.New(weights.Options{
 		LoadsPerSecond: 1000,
 	})
 	address, err := store.Start("127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, store.Stop()) }()
-	options := quick()
+	options := shortTimes()
 	options.Weights = address
-	b := newBench(t, options).ready()
+	b := startEngine(t, options).loadBriefing()
 	require.EqualValues(t, 1, store.Status().LoadsDone)
 	store.Faults.Set(weights.Faults{
 		FailLoads: 1,
 	})
-	b.send(b.load("ord-2", "summary", 1))
-	b.settles("ord-2", backend.OrderFailed)
+	b.sendOrder(b.loadOrder("ord-2", "summary", 1))
+	b.requireResult("ord-2", backend.OrderFailed)
 	require.Len(t, b.Report().Residents, 1, "a failed load frees its memory")
 }
 
 // Whatever is ordered in whatever order, memory holds, and each order ends once.
-func TestMemoryHoldsUnderAnyOrders(t *testing.T) {
+func TestMemoryStaysBoundedForAnyOrders(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		options := quick()
+		options := shortTimes()
 		options.Memory = 10
-		b := newBench(t, options)
+		b := startEngine(t, options)
 		count := rapid.IntRange(1, 25).Draw(r, "orders")
 		for i := range count {
-			order := b.load(ident.OrderID(fmt.Sprintf("ord-%d", i)), "", unit.Bytes(rapid.IntRange(0, 6).Draw(r, "memory")))
+			order := b.loadOrder(ident.OrderID(fmt.Sprintf("ord-%d", i)), "", unit.Bytes(rapid.IntRange(0, 6).Draw(r, "memory")))
 			order.Model = rapid.SampledFrom([]ident.ModelName{"a", "b", "c"}).Draw(r, "model")
 			order.Kind = rapid.SampledFrom([]backend.OrderKind{
 				backend.LoadModel, backend.UnloadModel, backend.LoadAdapter, backend.UnloadAdapter,
@@ -182,11 +182,11 @@
 			if order.Kind == backend.LoadAdapter || order.Kind == backend.UnloadAdapter {
 				order.Adapter = "x"
 			}
-			require.NoError(r, b.current().takeOrder(order))
+			require.NoError(r, b.current().executeOrder(order))
 			report := b.Report()
 			require.LessOrEqual(r, report.Taken(), report.Memory)
 		}
-		require.Eventually(r, func() bool { return len(b.Report().Settled) >= count }, patience, tick)
+		require.Eventually(r, func() bool { return len(b.Report().Settled) >= count }, waitTimeout, pollInterval)
 		ends := make(map[ident.OrderID]int)
 		for _, settled := range b.Report().Settled {
 			ends[settled.ID]++
@@ -197,18 +197,18 @@
 	})
 }
 
-func TestOrderMemoryIsBounded(t *testing.T) {
-	life := newLife(New(quick()))
-	defer life.end()
-	for i := range seenKept + 10 {
+func TestOrderHistoryIsBounded(t *testing.T) {
+	current := newIncarnation(New(shortTimes()))
+	defer current.terminate()
+	for i := range maxSeenOrders + 10 {
 		unload := backend.Order{
 			ID:          ident.OrderID(fmt.Sprint(i)),
-			Incarnation: life.incarnation,
+			Incarnation: current.id,
 			Kind:        backend.UnloadModel,
 			Model:       "none",
 		}
-		require.NoError(t, life.takeOrder(unload))
+		require.NoError(t, current.executeOrder(unload))
 	}
-	require.Len(t, life.settled, settledKept)
-	require.Len(t, life.seen.ids, seenKept)
+	require.Len(t, current.settled, maxSettledOrders)
+	require.Len(t, current.seenOrders.ids, maxSeenOrders)
 }
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// historyEvery and historyKept bound how exact and how long a report can lag.
-	historyEvery = 50 * time.Millisecond
-	historyKept  = 1200
-	// rateWeight is the share of the newest interval in TokensPerSecond.
-	rateWeight = 0.1
+	// historyInterval and historyKept bound how exact and how long a report can lag.
+	historyInterval   = 50 * time.Millisecond
+	maxHistoryReports = 1200
+	// rateSmoothing is the share of the newest interval in TokensPerSecond.
+	rateSmoothing = 0.1
 )
 
 // Report is the engine's word on itself, without any lag.
@@ -24,80 +24,80 @@
 	return e.current().report()
 }
 
-func (l *life) report() backend.Report {
+func (inc *incarnation) report() backend.Report {
 	report := backend.Report{
-		Server:        l.engine.options.Name,
-		Incarnation:   l.incarnation,
+		Server:        inc.engine.options.Name,
+		Incarnation:   inc.id,
 		At:            time.Now(),
-		Memory:        l.engine.options.Memory,
-		Slots:         l.engine.options.Slots,
-		Leaving:       l.engine.isLeaving(),
-		ChecksFencing: l.engine.checksFencing(),
+		Memory:        inc.engine.options.Memory,
+		Slots:         inc.engine.options.Slots,
+		Leaving:       inc.engine.isLeaving(),
+		ChecksFencing: inc.engine.checksFencing(),
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, weights := range l.residents {
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	for _, weights := range inc.residents {
 		report.Residents = append(report.Residents, weights.Resident)
 	}
-	report.Running = l.running
-	report.Waiting = len(l.queue)
-	report.TokensPerSecond = l.rate
-	report.Fencing = l.fencing
-	report.Settled = slices.Clone(l.settled)
+	report.Running = inc.running
+	report.Waiting = len(inc.queue)
+	report.TokensPerSecond = inc.tokensPerSecond
+	report.Fencing = inc.fencing
+	report.Settled = slices.Clone(inc.settled)
 	return report
 }
 
-// keepHistory takes a report at each tick, for ReportLag and the token rate.
-func (e *Engine) keepHistory() error {
-	ticker := time.NewTicker(historyEvery)
+// recordReports takes a report at each tick, for ReportLag and the token rate.
+func (e *Engine) recordReports() error {
+	ticker := time.NewTicker(historyInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			e.current().record()
+			e.current().recordReport()
 		case <-e.server.Dying():
 			// Loads and delayed orders would hold the stop up.
-			e.current().end()
+			e.current().terminate()
 			return nil
 		}
 	}
 }
 
-func (l *life) record() {
-	report := l.report()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	rate := float64(l.generated) / historyEvery.Seconds()
-	l.generated = 0
-	l.rate += rateWeight * (rate - l.rate)
-	l.history = append(l.history, report)
-	if over := len(l.history) - historyKept; over > 0 {
-		l.history = slices.Delete(l.history, 0, over)
+func (inc *incarnation) recordReport() {
+	report := inc.report()
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	newestRate := float64(inc.generatedTokens) / historyInterval.Seconds()
+	inc.generatedTokens = 0
+	inc.tokensPerSecond += rateSmoothing * (newestRate - inc.tokensPerSecond)
+	inc.history = append(inc.history, report)
+	if excess := len(inc.history) - maxHistoryReports; excess > 0 {
+		inc.history = slices.Delete(inc.history, 0, excess)
 	}
 }
 
-// reportOf is the report as it was so long ago, or the oldest there is.
-func (l *life) reportOf(lag time.Duration) backend.Report {
-	now := l.report()
+// reportWithLag is the report as it was so long ago, or the oldest there is.
+func (inc *incarnation) reportWithLag(lag time.Duration) backend.Report {
+	latest := inc.report()
 	if lag <= 0 {
-		return now
+		return latest
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	until := now.At.Add(-lag)
-	for i := len(l.history) - 1; i >= 0; i-- {
-		if !l.history[i].At.After(until) {
-			return l.history[i]
+	inc.mu.Lock()
+	defer inc.mu.Unlock()
+	cutoff := latest.At.Add(-lag)
+	for i := len(inc.history) - 1; i >= 0; i-- {
+		if !inc.history[i].At.After(cutoff) {
+			return inc.history[i]
 		}
 	}
-	if len(l.history) > 0 {
-		return l.history[0]
+	if len(inc.history) > 0 {
+		return inc.history[0]
 	}
-	return now
+	return latest
 }
 
 func (e *Engine) serveReport(w http.ResponseWriter, _ *http.Request) {
-	report := e.current().reportOf(time.Duration(e.Faults.Get().ReportLag))
+	report := e.current().reportWithLag(time.Duration(e.Faults.Get().ReportLag))
 	body, err := engineapi.EncodeReport(&report)
 	server.WriteJSON(w, http.StatusOK, body, err)
 }
@@ -108,10 +108,10 @@
 		http.Error(w, "after: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	life := e.current()
+	current := e.current()
 	body, err := engineapi.EncodeCacheEvents(engineapi.CacheEvents{
-		Incarnation: life.incarnation,
-		Events:      life.cacheEvents(after),
+		Incarnation: current.id,
+		Events:      current.cacheEvents(after),
 	})
 	server.WriteJSON(w, http.StatusOK, body, err)
 }
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -14,43 +14,43 @@
 // brokenChunk is what BreakStreamAfter sends.
 const brokenChunk = `{"id":"broken","object":`
 
-// ending is how a run ended.
-type ending int
+// outcome is how a run ended.
+type outcome int
 
 const (
-	completed ending = iota
+	completed outcome = iota
 	cancelled
-	// cutOff and endedEarly are the work of fault switches: the connection is
+	// connectionCut and endedEarly are the work of fault switches: the connection is
 	// cut, or the answer ends in order before it is whole.
-	cutOff
+	connectionCut
 	endedEarly
 )
 
 // run is one call that has its slot.
 type run struct {
-	life    *life
-	ctx     context.Context
-	w       http.ResponseWriter
-	call    *call
-	version ident.Version
-	answer  engineapi.Answer
-	text    strings.Builder
+	incarnation *incarnation
+	ctx         context.Context
+	w           http.ResponseWriter
+	call        *call
+	version     ident.Version
+	answer      engineapi.Answer
+	text        strings.Builder
 }
 
 // serve runs the prompt and generates the answer.
-func (r *run) serve() ending {
+func (r *run) serve() outcome {
 	r.answer = engineapi.Answer{
 		ID:      "chatcmpl-" + string(r.call.attempt),
 		Created: time.Now(),
 		Model:   r.call.chat.Model,
 	}
-	cached := r.life.lookUpPrefixes(&r.call.chat)
-	if !server.Pause(r.ctx, r.life.firstTokenTime(cached)) {
+	cached := r.incarnation.lookUpPrefixes(&r.call.chat)
+	if !server.Pause(r.ctx, r.incarnation.firstTokenTime(cached)) {
 		return cancelled
 	}
-	if r.call.hasMarker(r.life.engine.Faults.Get().CrashOnMarker) {
-		r.life.engine.Crash()
-		return cutOff
+	if r.call.hasMarker(r.incarnation.engine.Faults.Get().CrashOnMarker) {
+		r.incarnation.engine.Crash()
+		return connectionCut
 	}
 	if r.call.chat.Stream {
 		r.w.Header().Set("Content-Type", engineapi.ContentTypeStream)
@@ -59,36 +59,36 @@
 	return r.generate()
 }
 
-func (r *run) generate() ending {
+func (r *run) generate() outcome {
 	script := newScript(&r.call.chat, r.version)
-	gate := r.life.engine.gate()
-	for at := r.call.resumeAt; at < script.length; at++ {
-		if at > r.call.resumeAt && !server.Pause(r.ctx, r.life.tokenTime()) {
+	requestFaults := r.incarnation.engine.requestFaults()
+	for index := r.call.resumeAt; index < script.length; index++ {
+		if index > r.call.resumeAt && !server.Pause(r.ctx, r.incarnation.tokenTime()) {
 			return cancelled
 		}
-		if !r.life.engine.server.Pass(r.ctx, gate) {
+		if !r.incarnation.engine.server.WaitWhileFrozen(r.ctx, requestFaults) {
 			return cancelled
 		}
-		if stop, how := r.interrupted(at - r.call.resumeAt); stop {
-			return how
+		if isOver, result := r.applyStreamFaults(index - r.call.resumeAt); isOver {
+			return result
 		}
-		if !r.token(script.token(at), at == 0) {
+		if !r.emitToken(script.token(index), index == 0) {
 			return cancelled
 		}
 	}
-	return r.finish(script.length)
+	return r.finishAnswer(script.length)
 }
 
-// interrupted ends the answer where a switch says so, after sent tokens.
-func (r *run) interrupted(sent int) (bool, ending) {
-	faults := r.life.engine.Faults.Get()
+// applyStreamFaults ends the answer where a switch says so, after sent tokens.
+func (r *run) applyStreamFaults(sent int) (bool, outcome) {
+	faults := r.incarnation.engine.Faults.Get()
 	switch {
 	case sent == 0:
 		return false, completed
 	case faults.CutStreamAfter > 0 && sent >= faults.CutStreamAfter:
-		return true, cutOff
+		return true, connectionCut
 	case faults.BreakStreamAfter > 0 && sent >= faults.BreakStreamAfter:
-		r.breakOff()
+		r.sendBrokenChunk()
 		return true, endedEarly
 	case faults.EndStreamEarly > 0 && sent >= faults.EndStreamEarly:
 		// Returning ends the HTTP answer in order, as an engine that stops does.
@@ -98,27 +98,27 @@
 	}
 }
 
-func (r *run) breakOff() {
+func (r *run) sendBrokenChunk() {
 	if r.call.chat.Stream {
-		r.send([]byte(brokenChunk), nil)
+		r.sendEvent([]byte(brokenChunk), nil)
 		return
 	}
 	server.WriteJSON(r.w, http.StatusOK, []byte(brokenChunk), nil)
 }
 
-// token tells whether the client is still there.
-func (r *run) token(text string, first bool) bool {
-	r.life.countToken()
-	r.life.engine.ledger.token()
+// emitToken tells whether the client is still there.
+func (r *run) emitToken(text string, first bool) bool {
+	r.incarnation.countToken()
+	r.incarnation.engine.counters.countToken()
 	if !r.call.chat.Stream {
 		r.text.WriteString(text)
 		return true
 	}
 	chunk, err := r.answer.EncodeToken(text, first)
-	return r.send(chunk, err)
+	return r.sendEvent(chunk, err)
 }
 
-func (r *run) finish(length int) ending {
+func (r *run) finishAnswer(length int) outcome {
 	usage := engineapi.Usage{
 		Prompt:     promptTokens(&r.call.chat),
 		Completion: length,
@@ -129,19 +129,19 @@
 		return completed
 	}
 	chunk, err := r.answer.EncodeFinish()
-	sent := r.send(chunk, err)
+	sent := r.sendEvent(chunk, err)
 	if sent && r.call.chat.IncludeUsage {
 		chunk, err = r.answer.EncodeUsage(usage)
-		sent = r.send(chunk, err)
+		sent = r.sendEvent(chunk, err)
 	}
-	if !sent || !r.send([]byte(engineapi.StreamEnd), nil) {
+	if !sent || !r.sendEvent([]byte(engineapi.StreamEnd), nil) {
 		return cancelled
 	}
 	return completed
 }
 
-// send writes one event at once and tells whether the client is still there.
-func (r *run) send(data []byte, err error) bool {
+// sendEvent writes one event at once and tells whether the client is still there.
+func (r *run) sendEvent(data []byte, err error) bool {
 	if err != nil {
 		return false
 	}
--- a/internal/standin/engine/script.go
+++ b/internal/standin/engine/script.go
@@ -13,11 +13,11 @@
 
 const (
 	// defaultTokens is the length of an answer whose request gives none, and
-	// tokensLimit that of the longest.
+	// maxTokens that of the longest.
 	defaultTokens = 16
-	tokensLimit   = 4096
-	// echoLimit bounds how much of the message the first token repeats.
-	echoLimit = 256
+	maxTokens     = 4096
+	// maxEchoBytes bounds how much of the message the first token repeats.
+	maxEchoBytes = 256
 )
 
 // script is the answer to a request, token by token.
@@ -40,23 +40,23 @@
 		version: version,
 		message: message,
 		seed:    xxhash.Sum64String(chat.Model + "\x00" + message),
-		length:  min(length, tokensLimit),
+		length:  min(length, maxTokens),
 	}
 }
 
-func (s *script) token(at int) string {
-	if at == 0 {
-		return fmt.Sprintf("%s/%s: echo of %s", s.model, s.version, shortened(s.message))
+func (s *script) token(index int) string {
+	if index == 0 {
+		return fmt.Sprintf("%s/%s: echo of %s", s.model, s.version, truncateEcho(s.message))
 	}
-	hash := xxhash.Sum64String(fmt.Sprintf("%x/%d", s.seed, at))
-	return fmt.Sprintf(" w%d-%04x", at-1, uint16(hash))
+	hash := xxhash.Sum64String(fmt.Sprintf("%x/%d", s.seed, index))
+	return fmt.Sprintf(" w%d-%04x", index-1, uint16(hash))
 }
 
-func shortened(message string) string {
-	if len(message) <= echoLimit {
+func truncateEcho(message string) string {
+	if len(message) <= maxEchoBytes {
 		return message
 	}
-	end := echoLimit
+	end := maxEchoBytes
 	for end > 0 && !utf8.RuneStart(message[end]) {
 		end--
 	}
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -31,7 +31,7 @@
 // Path is where stand-ins serve their switch.
 const Path = "/faults"
 
-const bodyLimit = 64 << 10
+const maxBodyBytes = 64 << 10
 
 // Duration is a length of time that a person writes, as "200ms".
 type Duration time.Duration
@@ -82,7 +82,7 @@
 
 // SetJSON replaces all faults by those in the JSON, as a POST does.
 func (s *Switch[T]) SetJSON(from io.Reader) error {
-	faults, err := read[T](from)
+	faults, err := decodeFaults[T](from)
 	if err != nil {
 		return err
 	}
@@ -101,16 +101,16 @@
 	return s.changed
 }
 
-// Take counts a fault of the kind "the next n" down and tells whether it was
+// TakeOne counts a fault of the kind "the next n" down and tells whether it was
 // this one's turn.
-func (s *Switch[T]) Take(count func(*T) *int) bool {
+func (s *Switch[T]) TakeOne(count func(*T) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := count(&s.faults)
-	if *left <= 0 {
+	remaining := count(&s.faults)
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
@@ -131,9 +131,9 @@
 	_, _ = w.Write(body) // the reader is gone: nothing to tell it
 }
 
-func read[T any](from io.Reader) (T, error) {
+func decodeFaults[T any](from io.Reader) (T, error) {
 	var faults T
-	body, err := io.ReadAll(io.LimitReader(from, bodyLimit))
+	body, err := io.ReadAll(io.LimitReader(from, maxBodyBytes))
 	if err != nil {
 		return faults, errors.Wrap(err, "faults")
 	}
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -29,15 +29,15 @@
 	<-changed
 	require.Equal(t, Duration(200*time.Millisecond), s.Get().DelayBy)
 	lose := func(f *faults) *int { return &f.Lose }
-	require.True(t, s.Take(lose))
-	require.True(t, s.Take(lose))
-	require.False(t, s.Take(lose))
+	require.True(t, s.TakeOne(lose))
+	require.True(t, s.TakeOne(lose))
+	require.False(t, s.TakeOne(lose))
 	answer := post(&s, `{"Lose":1}`)
 	require.JSONEq(t, `{"Down":false,"Lose":1,"DelayBy":"0s"}`, answer.Body.String())
 }
 
 // A test of a fault passes for nothing: its switch was misspelt and never on.
-func TestWhatIsNoFaultIsRefusedAndChangesNothing(t *testing.T) {
+func TestInvalidFaultsAreRejectedWithoutChange(t *testing.T) {
 	var s Switch[faults]
 	post(&s, `{"Down":true}`)
 	for _, body := range []string{`{"Dwon":true}`, `{"DelayBy":"-1s"}`, `{"DelayBy":"soon"}`, `{"Lose":"2"}`, `nothing`, ``} {
--- a/internal/standin/hostlist/hostlist.go
+++ b/internal/standin/hostlist/hostlist.go
@@ -31,8 +31,8 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// versionsKept bounds the past lists that a lag can reach.
-const versionsKept = 1024
+// maxVersions bounds the past lists that a lag can reach.
+const maxVersions = 1024
 
 // Options are the list's settings.
 type Options struct {
@@ -60,8 +60,8 @@
 
 // version is the list from an instant on.
 type version struct {
-	since   time.Time
-	servers []backend.Server
+	validFrom time.Time
+	servers   []backend.Server
 }
 
 // New makes an empty list.
@@ -80,7 +80,7 @@
 	router.DELETE(engineapi.PathHosts+"/:name", l.serveDelete)
 	router.GET(fault.Path, server.Route(l.Faults.ServeHTTP))
 	router.POST(fault.Path, server.Route(l.Faults.ServeHTTP))
-	return l.server.Start(listen, l.server.Guard(l.gate(), router))
+	return l.server.Start(listen, l.server.ApplyFaults(l.requestFaults(), router))
 }
 
 // Stop ends the stand-in.
@@ -93,7 +93,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.servers[host.Name] = host
-	l.record()
+	l.recordVersion()
 }
 
 // Remove takes a host off the list.
@@ -101,46 +101,46 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.servers, name)
-	l.record()
+	l.recordVersion()
 }
 
-// record is called with mu held.
-func (l *List) record() {
+// recordVersion is called with mu held.
+func (l *List) recordVersion() {
 	servers := slices.SortedFunc(maps.Values(l.servers), func(a, b backend.Server) int {
 		return strings.Compare(string(a.Name), string(b.Name))
 	})
 	l.versions = append(l.versions, version{
-		since:   time.Now(),
-		servers: servers,
+		validFrom: time.Now(),
+		servers:   servers,
 	})
-	if len(l.versions) > versionsKept {
-		l.versions = slices.Delete(l.versions, 0, len(l.versions)-versionsKept)
+	if len(l.versions) > maxVersions {
+		l.versions = slices.Delete(l.versions, 0, len(l.versions)-maxVersions)
 	}
 }
 
 // Served returns the list as it is served now.
 func (l *List) Served() []backend.Server {
 	lag := l.options.Lag
-	if set := time.Duration(l.Faults.Get().Lag); set > 0 {
-		lag = set
+	if override := time.Duration(l.Faults.Get().Lag); override > 0 {
+		lag = override
 	}
-	until := time.Now().Add(-lag)
+	cutoff := time.Now().Add(-lag)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := len(l.versions) - 1; i >= 0; i-- {
-		if !l.versions[i].since.After(until) {
+		if !l.versions[i].validFrom.After(cutoff) {
 			return l.versions[i].servers
 		}
 	}
 	return nil
 }
 
-func (l *List) gate() server.Gate {
-	return server.Gate{
-		Changed: l.Faults.Changed,
-		Frozen:  func() bool { return l.Faults.Get().FreezeRequests },
-		Down:    func() bool { return l.Faults.Get().Down },
-		Open:    []string{fault.Path},
+func (l *List) requestFaults() server.RequestFaults {
+	return server.RequestFaults{
+		Changed:     l.Faults.Changed,
+		IsFrozen:    func() bool { return l.Faults.Get().FreezeRequests },
+		IsDown:      func() bool { return l.Faults.Get().Down },
+		ExemptPaths: []string{fault.Path},
 	}
 }
 
@@ -159,7 +159,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return nil
 	}
-	if string(host.Name) != server.Param(r, "name") {
+	if string(host.Name) != server.PathParam(r, "name") {
 		http.Error(w, "Name: differs from the path", http.StatusBadRequest)
 		return nil
 	}
@@ -169,7 +169,7 @@
 }
 
 func (l *List) serveDelete(w http.ResponseWriter, r bunrouter.Request) error {
-	l.Remove(ident.ServerName(server.Param(r, "name")))
+	l.Remove(ident.ServerName(server.PathParam(r, "name")))
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
--- a/internal/standin/hostlist/hostlist_test.go
+++ b/internal/standin/hostlist/hostlist_test.go
@@ -10,22 +10,22 @@
 	"cicadaloom/internal/domain/backend"
 )
 
-func TestPastListsAreBounded(t *testing.T) {
+func TestListVersionsAreBounded(t *testing.T) {
 	list := New(Options{})
 	host := backend.Server{
 		Name: "gpu-1",
 	}
-	for i := range versionsKept * 2 {
+	for i := range maxVersions * 2 {
 		host.Address = fmt.Sprint(i)
 		list.Put(host)
 	}
-	require.Len(t, list.versions, versionsKept)
+	require.Len(t, list.versions, maxVersions)
 	require.Equal(t, []backend.Server{host}, list.Served())
 	list.Remove(host.Name)
 	require.Empty(t, list.Served())
 }
 
-func TestAnEntryThatCantBeIsRefused(t *testing.T) {
+func TestInvalidEntryIsRefused(t *testing.T) {
 	list := New(Options{})
 	address, err := list.Start("127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/standin/hostlist/register.go
+++ b/internal/standin/hostlist/register.go
@@ -13,7 +13,7 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-const registerAnswerLimit = 4 << 10
+const maxAnswerBytes = 4 << 10
 
 // Register puts a host into the list at address, or changes its entry.
 func Register(ctx context.Context, address string, host backend.Server) error {
@@ -21,15 +21,15 @@
 	if err != nil {
 		return err
 	}
-	return change(ctx, address, http.MethodPut, host.Name, body)
+	return sendChange(ctx, address, http.MethodPut, host.Name, body)
 }
 
 // Deregister takes a host off the list at address.
 func Deregister(ctx context.Context, address string, name ident.ServerName) error {
-	return change(ctx, address, http.MethodDelete, name, nil)
+	return sendChange(ctx, address, http.MethodDelete, name, nil)
 }
 
-func change(ctx context.Context, address, method string, name ident.ServerName, body []byte) error {
+func sendChange(ctx context.Context, address, method string, name ident.ServerName, body []byte) error {
 	var client httpsend.Client
 	defer client.Close()
 	status, answer, err := client.Fetch(httpsend.Request{
@@ -39,7 +39,7 @@
 		Path:    engineapi.PathHosts + "/" + url.PathEscape(string(name)),
 		Body:    body,
 		Once:    true,
-	}, registerAnswerLimit)
+	}, maxAnswerBytes)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -41,9 +41,9 @@
 )
 
 const (
-	// runsKept bounds the ids and bodies whose runs are counted; the first are
+	// maxCountedRuns bounds the ids and bodies whose runs are counted; the first are
 	// kept, so that a count never begins anew.
-	runsKept          = 1 << 17
+	maxCountedRuns    = 1 << 17
 	retryAfterSeconds = 1
 )
 
@@ -135,7 +135,7 @@
 	router.GET(PathStats, server.Route(s.serveStats))
 	router.GET(fault.Path, server.Route(s.Faults.ServeHTTP))
 	router.POST(fault.Path, server.Route(s.Faults.ServeHTTP))
-	return s.server.Start(listen, s.server.Guard(s.gate(), router))
+	return s.server.Start(listen, s.server.ApplyFaults(s.requestFaults(), router))
 }
 
 // Leave refuses new work from now on and reports Leaving.
@@ -167,13 +167,13 @@
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
-func (s *Service) gate() server.Gate {
-	return server.Gate{
-		Changed:       s.Faults.Changed,
-		Frozen:        func() bool { return s.Faults.Get().FreezeRequests },
-		Down:          func() bool { return s.Faults.Get().Down },
-		Open:          []string{fault.Path, PathStats},
-		KeepAbandoned: true,
+func (s *Service) requestFaults() server.RequestFaults {
+	return server.RequestFaults{
+		Changed:      s.Faults.Changed,
+		IsFrozen:     func() bool { return s.Faults.Get().FreezeRequests },
+		IsDown:       func() bool { return s.Faults.Get().Down },
+		ExemptPaths:  []string{fault.Path, PathStats},
+		IgnoreCancel: true,
 	}
 }
 
@@ -190,11 +190,11 @@
 		return
 	}
 	defer func() { <-s.slots }()
-	run := s.count(request, body)
+	run := s.countRun(request, body)
 	// A service, unlike an engine, does not stop when its caller goes away.
-	time.Sleep(s.work())
-	if s.Faults.Take(func(f *Faults) *int { return &f.CutAfterRun }) {
-		server.Cut()
+	time.Sleep(s.workTime())
+	if s.Faults.TakeOne(func(f *Faults) *int { return &f.CutAfterRun }) {
+		server.CutConnection()
 	}
 	answer, err := json.Marshal(Echo{
 		Method: r.Method,
@@ -246,10 +246,10 @@
 	http.Error(w, "not run", http.StatusServiceUnavailable)
 }
 
-func (s *Service) count(request ident.RequestID, body []byte) int {
+func (s *Service) countRun(request ident.RequestID, body []byte) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.stats.Runs) >= runsKept || len(s.stats.RunsOfBody) >= runsKept {
+	if len(s.stats.Runs) >= maxCountedRuns || len(s.stats.RunsOfBody) >= maxCountedRuns {
 		s.stats.RunsNotKept++
 		return 0
 	}
@@ -258,9 +258,9 @@
 	return s.stats.Runs[request]
 }
 
-func (s *Service) work() time.Duration {
-	if set := time.Duration(s.Faults.Get().WorkFor); set > 0 {
-		return set
+func (s *Service) workTime() time.Duration {
+	if override := time.Duration(s.Faults.Get().WorkFor); override > 0 {
+		return override
 	}
 	return s.options.Work
 }
--- a/internal/standin/plain/plain_test.go
+++ b/internal/standin/plain/plain_test.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	patience = 10 * time.Second
-	tick     = 2 * time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
-type bench struct {
+type testService struct {
 	*Service
 	client  peer.Client
 	address string
 }
 
-func newBench(t *testing.T, options Options) *bench {
-	b := &bench{
+func startService(t *testing.T, options Options) *testService {
+	b := &testService{
 		Service: New(options),
 	}
 	var err error
@@ -40,7 +40,7 @@
 	return b
 }
 
-func (b *bench) do(ctx context.Context, request ident.RequestID) error {
+func (b *testService) send(ctx context.Context, request ident.RequestID) error {
 	_, refusal := b.client.Do(ctx, b.address, &peer.Request{
 		Method:    http.MethodPost,
 		Path:      "/reservations",
@@ -54,35 +54,35 @@
 	return nil
 }
 
-func (b *bench) running() int {
+func (b *testService) runningCount() int {
 	return len(b.slots)
 }
 
 // A mother is told that her reservation was not made, and it is: its host gave
 // up on a service that hung, and the service ran it when it woke up.
-func TestAFrozenServiceRunsLate(t *testing.T) {
-	b := newBench(t, Options{})
+func TestFrozenServiceRunsAbandonedRequest(t *testing.T) {
+	b := startService(t, Options{})
 	b.Faults.Set(Faults{
 		FreezeRequests: true,
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
 	var refusal *peer.Refusal
-	require.ErrorAs(t, b.do(ctx, "req-1"), &refusal)
+	require.ErrorAs(t, b.send(ctx, "req-1"), &refusal)
 	require.False(t, refusal.ProvesNotRun())
 	require.Zero(t, b.Stats().Runs["req-1"])
 	b.Faults.Set(Faults{})
-	require.Eventually(t, func() bool { return b.Stats().Runs["req-1"] == 1 }, patience, tick)
+	require.Eventually(t, func() bool { return b.Stats().Runs["req-1"] == 1 }, waitTimeout, pollInterval)
 
 	b.Faults.Set(Faults{
 		Down: true,
 	})
-	require.Error(t, b.do(context.Background(), "req-3"))
+	require.Error(t, b.send(context.Background(), "req-3"))
 	require.Zero(t, b.Stats().Runs["req-3"])
 }
 
-func TestAFullServiceRefusesAndAStopLetsRequestsEnd(t *testing.T) {
-	b := newBench(t, Options{
+func TestFullServiceRefusesAndStopWaits(t *testing.T) {
+	b := startService(t, Options{
 		Slots:      1,
 		QueueLimit: 1,
 	})
@@ -90,16 +90,16 @@
 		WorkFor: fault.Duration(100 * time.Millisecond),
 	})
 	var callers tomb.Tomb
-	callers.Go(func() error { return b.do(context.Background(), "req-1") })
-	require.Eventually(t, func() bool { return b.running() == 1 }, patience, tick)
-	callers.Go(func() error { return b.do(context.Background(), "req-2") })
+	callers.Go(func() error { return b.send(context.Background(), "req-1") })
+	require.Eventually(t, func() bool { return b.runningCount() == 1 }, waitTimeout, pollInterval)
+	callers.Go(func() error { return b.send(context.Background(), "req-2") })
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.waiting == 1
-	}, patience, tick)
+	}, waitTimeout, pollInterval)
 	var refusal *peer.Refusal
-	require.ErrorAs(t, b.do(context.Background(), "req-3"), &refusal)
+	require.ErrorAs(t, b.send(context.Background(), "req-3"), &refusal)
 	require.True(t, refusal.ProvesNotRun())
 	require.NoError(t, b.Stop())
 	require.NoError(t, callers.Wait())
@@ -107,13 +107,13 @@
 	require.Equal(t, 1, b.Stats().Refused)
 }
 
-func TestCountsAreBounded(t *testing.T) {
+func TestRunCountsAreBounded(t *testing.T) {
 	service := New(Options{})
 	body := []byte("x")
-	for i := range runsKept {
+	for i := range maxCountedRuns {
 		service.stats.Runs[ident.RequestID(strconv.Itoa(i))] = 1
 	}
-	require.Zero(t, service.count("new", body))
+	require.Zero(t, service.countRun("new", body))
 	require.Equal(t, 1, service.Stats().RunsNotKept)
-	require.Len(t, service.stats.Runs, runsKept)
+	require.Len(t, service.stats.Runs, maxCountedRuns)
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -29,8 +29,8 @@
 	"cicadaloom/internal/standin/weights"
 )
 
-// anyPort lets the system choose the port of a stand-in.
-const anyPort = "127.0.0.1:0"
+// anyPortAddress lets the system choose the port of a stand-in.
+const anyPortAddress = "127.0.0.1:0"
 
 // Place is where a host stands.
 type Place struct {
@@ -87,17 +87,17 @@
 }
 
 func (p *Platform) start() error {
-	keyValue, err := p.Store.Start(anyPort)
+	keyValue, err := p.Store.Start(anyPortAddress)
 	if err != nil {
 		return errors.Wrap(err, "key-value service")
 	}
 	p.KeyValue = keyValue.String()
 	p.running = append(p.running, p.Store)
-	if p.HostList, err = p.List.Start(anyPort); err != nil {
+	if p.HostList, err = p.List.Start(anyPortAddress); err != nil {
 		return errors.Wrap(err, "host list")
 	}
 	p.running = append(p.running, p.List)
-	if p.WeightStore, err = p.Weights.Start(anyPort); err != nil {
+	if p.WeightStore, err = p.Weights.Start(anyPortAddress); err != nil {
 		return errors.Wrap(err, "weight store")
 	}
 	p.running = append(p.running, p.Weights)
@@ -109,13 +109,13 @@
 	options.Name = name
 	options.Weights = p.WeightStore
 	added := engine.New(options)
-	address, err := added.Start(anyPort)
+	address, err := added.Start(anyPortAddress)
 	if err != nil {
 		return "", errors.Wrapf(err, "engine %s", name)
 	}
 	p.running = append(p.running, added)
 	p.Engines[name] = added
-	return address, p.list(backend.Server{
+	return address, p.register(backend.Server{
 		Name:    name,
 		Kind:    backend.KindEngine,
 		Address: address,
@@ -125,13 +125,13 @@
 // AddPlain starts a plain service and puts it on the list.
 func (p *Platform) AddPlain(name ident.ServerName, service ident.ServiceName, options plain.Options) (string, error) {
 	added := plain.New(options)
-	address, err := added.Start(anyPort)
+	address, err := added.Start(anyPortAddress)
 	if err != nil {
 		return "", errors.Wrapf(err, "service %s", name)
 	}
 	p.running = append(p.running, added)
 	p.Plains[name] = added
-	return address, p.list(backend.Server{
+	return address, p.register(backend.Server{
 		Name:    name,
 		Kind:    backend.KindService,
 		Address: address,
@@ -141,7 +141,7 @@
 
 // AddEntryHost puts an entry host on the list, as the platform would.
 func (p *Platform) AddEntryHost(name ident.HostID, peerAddress string) error {
-	return p.list(backend.Server{
+	return p.register(backend.Server{
 		Name:    ident.ServerName(name),
 		Kind:    backend.KindEntry,
 		Address: peerAddress,
@@ -161,9 +161,9 @@
 		},
 	}
 	result.Listen = settings.Listen{
-		Callers:   anyPort,
-		Operators: anyPort,
-		Peers:     anyPort,
+		Callers:   anyPortAddress,
+		Operators: anyPortAddress,
+		Peers:     anyPortAddress,
 	}
 	// There is no balancer in front of it.
 	result.Callers.LameDuck = 0
@@ -174,7 +174,7 @@
 	return result
 }
 
-func (p *Platform) list(host backend.Server) error {
+func (p *Platform) register(host backend.Server) error {
 	host.State = backend.StateLive
 	host.DataCentre = p.options.Place.DataCentre
 	host.Region = p.options.Place.Region
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -46,7 +46,7 @@
 }
 
 const (
-	pieceSize   = 16 << 10
+	chunkSize   = 16 << 10
 	dialTimeout = 2 * time.Second
 )
 
@@ -56,16 +56,16 @@
 	options  Options
 	tomb     tomb.Tomb
 	listener net.Listener
-	forth    *rate.Limiter
-	back     *rate.Limiter
+	toTarget *rate.Limiter
+	toClient *rate.Limiter
 }
 
 // New returns a relay that is not yet listening.
 func New(options Options) *Relay {
 	return &Relay{
-		options: options,
-		forth:   rate.NewLimiter(rate.Inf, pieceSize),
-		back:    rate.NewLimiter(rate.Inf, pieceSize),
+		options:  options,
+		toTarget: rate.NewLimiter(rate.Inf, chunkSize),
+		toClient: rate.NewLimiter(rate.Inf, chunkSize),
 	}
 }
 
@@ -76,7 +76,7 @@
 		return "", errors.Wrap(err, "relay")
 	}
 	r.listener = listener
-	r.tomb.Go(r.accept)
+	r.tomb.Go(r.acceptLoop)
 	return listener.Addr().String(), nil
 }
 
@@ -87,7 +87,7 @@
 	return r.tomb.Wait()
 }
 
-func (r *Relay) accept() error {
+func (r *Relay) acceptLoop() error {
 	for {
 		connection, err := r.listener.Accept()
 		if err != nil {
@@ -97,29 +97,29 @@
 			_ = connection.Close()
 			continue
 		}
-		r.tomb.Go(func() error { return r.join(connection) })
+		r.tomb.Go(func() error { return r.proxyConnection(connection) })
 	}
 }
 
-// join carries one connection until either side or the relay ends it.
-func (r *Relay) join(near net.Conn) error {
-	far, err := net.DialTimeout("tcp", r.options.Target, dialTimeout)
+// proxyConnection carries one connection until either side or the relay ends it.
+func (r *Relay) proxyConnection(client net.Conn) error {
+	target, err := net.DialTimeout("tcp", r.options.Target, dialTimeout)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return nil
 	}
 	ctx, cancel := context.WithCancel(r.tomb.Context(context.Background()))
-	r.tomb.Go(func() error { return r.carry(ctx, cancel, near, far, r.forth) })
-	r.tomb.Go(func() error { return r.carry(ctx, cancel, far, near, r.back) })
-	r.watch(ctx)
+	r.tomb.Go(func() error { return r.copyDirection(ctx, cancel, client, target, r.toTarget) })
+	r.tomb.Go(func() error { return r.copyDirection(ctx, cancel, target, client, r.toClient) })
+	r.waitForCut(ctx)
 	cancel()
-	_ = near.Close()
-	_ = far.Close()
+	_ = client.Close()
+	_ = target.Close()
 	return nil
 }
 
-// watch returns when the connection has ended or is to be cut.
-func (r *Relay) watch(ctx context.Context) {
+// waitForCut returns when the connection has ended or is to be cut.
+func (r *Relay) waitForCut(ctx context.Context) {
 	for {
 		changed := r.Faults.Changed()
 		if r.Faults.Get().Cut {
@@ -133,12 +133,12 @@
 	}
 }
 
-func (r *Relay) carry(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, limiter *rate.Limiter) error {
+func (r *Relay) copyDirection(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, limiter *rate.Limiter) error {
 	defer cancel()
-	piece := make([]byte, pieceSize)
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := from.Read(piece)
-		if n > 0 && !r.pass(ctx, to, piece[:n], limiter) {
+		n, err := from.Read(chunk)
+		if n > 0 && !r.forward(ctx, to, chunk[:n], limiter) {
 			return nil
 		}
 		if err != nil {
@@ -147,8 +147,8 @@
 	}
 }
 
-// pass sends one piece on, as the faults have it, and tells whether it went on.
-func (r *Relay) pass(ctx context.Context, to net.Conn, piece []byte, limiter *rate.Limiter) bool {
+// forward sends one piece on, as the faults have it, and tells whether it went on.
+func (r *Relay) forward(ctx context.Context, to net.Conn, chunk []byte, limiter *rate.Limiter) bool {
 	faults := r.Faults.Get()
 	if faults.Swallow {
 		return true
@@ -158,7 +158,7 @@
 		limit = rate.Limit(faults.BytesPerSecond)
 	}
 	limiter.SetLimit(limit)
-	if err := limiter.WaitN(ctx, len(piece)); err != nil {
+	if err := limiter.WaitN(ctx, len(chunk)); err != nil {
 		return false
 	}
 	if faults.Delay > 0 {
@@ -170,6 +170,6 @@
 			return false
 		}
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(chunk)
 	return err == nil
 }
--- a/internal/standin/server/gate.go
+++ b/internal/standin/server/gate.go
@@ -15,48 +15,48 @@
 // BodyLimit bounds a request's body.
 const BodyLimit = 8 << 20
 
-// Gate is how a stand-in's switches fail its requests.
-type Gate struct {
+// RequestFaults is how a stand-in's switches fail its requests.
+type RequestFaults struct {
 	// Changed returns a channel that is closed when the switches change next.
 	Changed func() <-chan struct{}
-	// Frozen holds requests until it is false, Down cuts them.
-	Frozen func() bool
-	Down   func() bool
-	// Open has the paths that get through whatever the switches say.
-	Open []string
-	// KeepAbandoned holds a request also when its client has gone, as a paused
+	// IsFrozen holds requests until it is false, Down cuts them.
+	IsFrozen func() bool
+	IsDown   func() bool
+	// ExemptPaths has the paths that get through whatever the switches say.
+	ExemptPaths []string
+	// IgnoreCancel holds a request also when its client has gone, as a paused
 	// process does that took it.
-	KeepAbandoned bool
+	IgnoreCancel bool
 }
 
-// Guard puts a gate before a handler. The body of each request is read first:
+// ApplyFaults puts a gate before a handler. The body of each request is read first:
 // only then does net/http notice that a client went away.
-func (s *Server) Guard(gate Gate, next http.Handler) http.Handler {
+func (s *Server) ApplyFaults(faults RequestFaults, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if slices.Contains(gate.Open, r.URL.Path) {
+		if slices.Contains(faults.ExemptPaths, r.URL.Path) {
 			next.ServeHTTP(w, r)
 			return
 		}
 		if _, ok := ReadBody(w, r); !ok {
 			return
 		}
-		if gate.KeepAbandoned {
+		if faults.IgnoreCancel {
 			r = r.WithContext(context.WithoutCancel(r.Context()))
 		}
-		if !s.Pass(r.Context(), gate) {
-			Cut()
+		if !s.WaitWhileFrozen(r.Context(), faults) {
+			CutConnection()
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Pass waits while the gate is frozen, and tells whether to go on: not when the
-// gate is down, the context ended or the server stops.
-func (s *Server) Pass(ctx context.Context, gate Gate) bool {
+// WaitWhileFrozen waits while the gate is frozen, and tells whether to go on: not when the
+// faults is down, the context ended or the server stops.
+func (s *Server) WaitWhileFrozen(ctx context.Context, faults RequestFaults) bool {
 	for {
-		change := gate.Changed()
-		if !gate.Frozen() {
-			return !gate.Down()
+		change := faults.Changed()
+		if !faults.IsFrozen() {
+			return !faults.IsDown()
 		}
 		select {
 		case <-change:
@@ -90,9 +90,9 @@
 	}
 }
 
-// Param reads a part of the path. Where a path has escapes that matter, such as
+// PathParam reads a part of the path. Where a path has escapes that matter, such as
 // %2F, bunrouter matches it as it came and leaves them in.
-func Param(r bunrouter.Request, name string) string {
+func PathParam(r bunrouter.Request, name string) string {
 	value := r.Param(name)
 	if r.URL.RawPath == "" {
 		return value
@@ -104,8 +104,8 @@
 	return unescaped
 }
 
-// Cut ends a request by closing its connection without an answer. It does not return.
-func Cut() {
+// CutConnection ends a request by closing its connection without an answer. It does not return.
+func CutConnection() {
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	// stopGrace is how long Stop waits for requests in flight.
-	stopGrace = 15 * time.Second
-	// headerTimeout bounds how long a client may take over a header.
-	headerTimeout = 10 * time.Second
-	// relistenPause is between two tries to get the old address back.
-	relistenPause = 20 * time.Millisecond
+	// shutdownTimeout is how long Stop waits for requests in flight.
+	shutdownTimeout = 15 * time.Second
+	// readHeaderTimeout bounds how long a client may take over a header.
+	readHeaderTimeout = 10 * time.Second
+	// relistenInterval is between two tries to get the old address back.
+	relistenInterval = 20 * time.Millisecond
 )
 
 // Server is one stand-in's HTTP server. Its zero value is ready to start, once.
 type Server struct {
-	tomb     tomb.Tomb
-	mu       sync.Mutex
-	http     *http.Server // nil between a crash and the restart
-	handler  http.Handler
-	address  string
-	stopping chan struct{} // closed when Stop begins
-	ended    bool          // no goroutine starts any more
+	tomb      tomb.Tomb
+	mu        sync.Mutex
+	http      *http.Server // nil between a crash and the restart
+	handler   http.Handler
+	address   string
+	stopping  chan struct{} // closed when Stop begins
+	isStopped bool          // no goroutine starts any more
 }
 
 // Start listens and serves, and returns the address that it got.
@@ -58,7 +58,7 @@
 		<-s.tomb.Dying()
 		return nil
 	})
-	s.serve(listener)
+	s.serveListener(listener)
 	return s.address, nil
 }
 
@@ -67,7 +67,7 @@
 func (s *Server) Go(f func() error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopping != nil && !s.ended {
+	if s.stopping != nil && !s.isStopped {
 		s.tomb.Go(f)
 	}
 }
@@ -77,11 +77,11 @@
 	return s.tomb.Dying()
 }
 
-// serve is called with mu held.
-func (s *Server) serve(listener net.Listener) {
+// serveListener is called with mu held.
+func (s *Server) serveListener(listener net.Listener) {
 	server := &http.Server{
 		Handler:           s.handler,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	s.http = server
 	s.tomb.Go(func() error {
@@ -112,14 +112,14 @@
 		shutdown(server)
 	}
 	s.mu.Lock()
-	s.ended = true
+	s.isStopped = true
 	s.mu.Unlock()
 	s.tomb.Kill(nil)
 	return s.tomb.Wait()
 }
 
 func shutdown(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		_ = server.Close() // the listener is closed already: nothing else to do
@@ -128,7 +128,7 @@
 
 // Crash closes the listener and every connection at once, as a process that
 // dies. After the pause it calls revive and listens on the same address again.
-func (s *Server) Crash(pause time.Duration, revive func()) {
+func (s *Server) Crash(delay time.Duration, beforeRestart func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server := s.http
@@ -138,42 +138,42 @@
 	s.http = nil
 	_ = server.Close() // what can't be closed is closed already
 	s.tomb.Go(func() error {
-		if s.wait(pause) {
-			s.restart(revive)
+		if s.sleep(delay) {
+			s.restart(beforeRestart)
 		}
 		return nil
 	})
 }
 
-func (s *Server) restart(revive func()) {
-	revive()
+func (s *Server) restart(beforeRestart func()) {
+	beforeRestart()
 	for {
 		listener, err := net.Listen("tcp", s.address)
 		if err == nil {
-			s.resume(listener)
+			s.serveUnlessStopping(listener)
 			return
 		}
 		// The old connections may hold the address for a moment.
-		if !s.wait(relistenPause) {
+		if !s.sleep(relistenInterval) {
 			return
 		}
 	}
 }
 
-func (s *Server) resume(listener net.Listener) {
+func (s *Server) serveUnlessStopping(listener net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
 	case <-s.stopping:
 		_ = listener.Close() // it served nothing yet
 	default:
-		s.serve(listener)
+		s.serveListener(listener)
 	}
 }
 
-// wait tells whether the pause passed before a stop.
-func (s *Server) wait(pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// sleep tells whether the pause passed before a stop.
+func (s *Server) sleep(length time.Duration) bool {
+	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	patience = 10 * time.Second
-	tick     = 2 * time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
 func get(address string) (int, error) {
@@ -36,27 +36,27 @@
 	return response.StatusCode, err
 }
 
-func TestACrashedServerComesBackAtItsAddress(t *testing.T) {
+func TestCrashedServerRestartsAtSameAddress(t *testing.T) {
 	var s Server
 	address, err := s.Start("127.0.0.1:0", http.NotFoundHandler())
 	require.NoError(t, err)
-	revived := 0
+	restarts := 0
 	for range 3 {
-		s.Crash(20*time.Millisecond, func() { revived++ })
+		s.Crash(20*time.Millisecond, func() { restarts++ })
 		_, err = get(address)
 		require.Error(t, err, "connection refused")
 		require.Eventually(t, func() bool {
 			status, err := get(address)
 			return err == nil && status == http.StatusNotFound
-		}, patience, tick)
+		}, waitTimeout, pollInterval)
 	}
-	require.Equal(t, 3, revived)
+	require.Equal(t, 3, restarts)
 	require.NoError(t, s.Stop())
 	require.NoError(t, s.Stop(), "a second stop does nothing")
 	s.Go(func() error { panic("after the stop nothing starts") })
 }
 
-func TestStopEndsACrashedServer(t *testing.T) {
+func TestStopEndsCrashedServer(t *testing.T) {
 	var s Server
 	address, err := s.Start("127.0.0.1:0", http.NotFoundHandler())
 	require.NoError(t, err)
@@ -67,18 +67,18 @@
 }
 
 // A scenario hangs for good: it froze a stand-in and stops it before the thaw.
-func TestStopCutsRequestsThatHang(t *testing.T) {
+func TestStopCutsFrozenRequests(t *testing.T) {
 	var s Server
 	hanging := make(chan struct{})
-	gate := Gate{
+	faults := RequestFaults{
 		Changed: func() <-chan struct{} {
 			close(hanging)
 			return nil
 		},
-		Frozen:        func() bool { return true },
-		KeepAbandoned: true,
+		IsFrozen:     func() bool { return true },
+		IgnoreCancel: true,
 	}
-	address, err := s.Start("127.0.0.1:0", s.Guard(gate, http.NotFoundHandler()))
+	address, err := s.Start("127.0.0.1:0", s.ApplyFaults(faults, http.NotFoundHandler()))
 	require.NoError(t, err)
 	var client tomb.Tomb
 	client.Go(func() error {
@@ -92,12 +92,12 @@
 
 // A cut answer arrives as a whole one: the router's adapter recovered the panic
 // by which the handler cuts.
-func TestCutGoesThroughTheRouter(t *testing.T) {
+func TestCutReachesClientThroughRouter(t *testing.T) {
 	var s Server
 	router := bunrouter.New()
 	router.GET("/", Route(func(w http.ResponseWriter, r *http.Request) {
 		if _, ok := ReadBody(w, r); ok {
-			Cut()
+			CutConnection()
 		}
 	}))
 	router.POST("/", Route(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -48,8 +48,8 @@
 
 // A load runs in steps of this length and takes the pace anew at each.
 const (
-	modelStep   = 100 * time.Millisecond
-	adapterStep = 2 * time.Millisecond
+	modelStepTime   = 100 * time.Millisecond
+	adapterStepTime = 2 * time.Millisecond
 )
 
 // Options are the store's settings; zero values take the defaults.
@@ -75,10 +75,10 @@
 	options Options
 	server  server.Server
 
-	mu       sync.Mutex
-	models   int
-	adapters int
-	done     int64
+	mu           sync.Mutex
+	modelLoads   int
+	adapterLoads int
+	loadsDone    int64
 }
 
 // New makes a store.
@@ -110,7 +110,7 @@
 	router.GET(engineapi.PathLoadStatus, server.Route(s.serveStatus))
 	router.GET(fault.Path, server.Route(s.Faults.ServeHTTP))
 	router.POST(fault.Path, server.Route(s.Faults.ServeHTTP))
-	return s.server.Start(listen, s.server.Guard(s.gate(), router))
+	return s.server.Start(listen, s.server.ApplyFaults(s.requestFaults(), router))
 }
 
 // Stop ends the stand-in when the loads going on are done.
@@ -123,17 +123,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return engineapi.WeightStatus{
-		InTransit: s.models + s.adapters,
-		LoadsDone: s.done,
+		InTransit: s.modelLoads + s.adapterLoads,
+		LoadsDone: s.loadsDone,
 	}
 }
 
-func (s *Store) gate() server.Gate {
-	return server.Gate{
-		Changed: s.Faults.Changed,
-		Frozen:  func() bool { return s.Faults.Get().FreezeRequests },
-		Down:    func() bool { return s.Faults.Get().Down },
-		Open:    []string{fault.Path},
+func (s *Store) requestFaults() server.RequestFaults {
+	return server.RequestFaults{
+		Changed:     s.Faults.Changed,
+		IsFrozen:    func() bool { return s.Faults.Get().FreezeRequests },
+		IsDown:      func() bool { return s.Faults.Get().Down },
+		ExemptPaths: []string{fault.Path},
 	}
 }
 
@@ -152,65 +152,65 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s.Faults.Take(func(f *Faults) *int { return &f.FailLoads }) {
+	if s.Faults.TakeOne(func(f *Faults) *int { return &f.FailLoads }) {
 		http.Error(w, "load failed", http.StatusInternalServerError)
 		return
 	}
 	if !s.load(r.Context(), load) {
-		server.Cut()
+		server.CutConnection()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // load passes the time of a load and tells whether its client stayed.
 func (s *Store) load(ctx context.Context, load engineapi.WeightLoad) bool {
-	work := s.work(load)
-	s.add(work.count, 1)
-	defer s.add(work.count, -1)
-	for left := work.alone; left > 0; left -= work.step {
-		if !server.Pause(ctx, s.slowed(min(left, work.step), work)) {
+	profile := s.profile(load)
+	s.addCount(profile.concurrent, 1)
+	defer s.addCount(profile.concurrent, -1)
+	for remaining := profile.baseTime; remaining > 0; remaining -= profile.step {
+		if !server.Pause(ctx, s.stepTime(min(remaining, profile.step), profile)) {
 			return false
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done++
+	s.loadsDone++
 	return true
 }
 
-// work is how long a load takes alone, and whom it shares the store with.
-type work struct {
-	alone  time.Duration
-	step   time.Duration
-	count  *int
-	atOnce int
+// profile is how long a load takes alone, and whom it shares the store with.
+type loadProfile struct {
+	baseTime       time.Duration
+	step           time.Duration
+	concurrent     *int
+	fullSpeedLoads int
 }
 
-func (s *Store) work(load engineapi.WeightLoad) work {
+func (s *Store) profile(load engineapi.WeightLoad) loadProfile {
 	if load.Adapter != "" {
-		return work{
-			alone:  s.adapterTime(string(load.Adapter)),
-			step:   adapterStep,
-			count:  &s.adapters,
-			atOnce: s.options.AdaptersAtOnce,
+		return loadProfile{
+			baseTime:       s.adapterTime(string(load.Adapter)),
+			step:           adapterStepTime,
+			concurrent:     &s.adapterLoads,
+			fullSpeedLoads: s.options.AdaptersAtOnce,
 		}
 	}
 	seconds := float64(s.options.AtOnce) / s.options.LoadsPerSecond
-	return work{
-		alone:  time.Duration(seconds * float64(time.Second)),
-		step:   modelStep,
-		count:  &s.models,
-		atOnce: s.options.AtOnce,
+	return loadProfile{
+		baseTime:       time.Duration(seconds * float64(time.Second)),
+		step:           modelStepTime,
+		concurrent:     &s.modelLoads,
+		fullSpeedLoads: s.options.AtOnce,
 	}
 }
 
-// slowed is how long a step takes at the pace of now.
-func (s *Store) slowed(step time.Duration, work work) time.Duration {
-	slow := max(1, s.Faults.Get().SlowFactor)
+// stepTime is how long a step takes at the pace of now.
+func (s *Store) stepTime(step time.Duration, profile loadProfile) time.Duration {
+	slowFactor := max(1, s.Faults.Get().SlowFactor)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	crowd := max(1, float64(*work.count)/float64(work.atOnce))
-	return time.Duration(float64(step) * crowd * slow)
+	overload := max(1, float64(*profile.concurrent)/float64(profile.fullSpeedLoads))
+	return time.Duration(float64(step) * overload * slowFactor)
 }
 
 // adapterTime spreads adapters evenly over their range of times.
@@ -219,7 +219,7 @@
 	return s.options.AdapterFastest + time.Duration(xxhash.Sum64String(name)%spread)
 }
 
-func (s *Store) add(count *int, change int) {
+func (s *Store) addCount(count *int, change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*count += change
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -13,8 +13,8 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// together runs so many loads at once and returns how long they took.
-func together(store *Store, count int, adapter ident.AdapterName) time.Duration {
+// runConcurrently runs so many loads at once and returns how long they took.
+func runConcurrently(store *Store, count int, adapter ident.AdapterName) time.Duration {
 	begin := time.Now()
 	var loads tomb.Tomb
 	loads.Go(func() error {
@@ -36,30 +36,30 @@
 // The figures are the brief's: one and a half loads a second, ten at once at
 // full speed; adapters 6 to 20 ms up to 85 in transit, proportionally longer
 // beyond that.
-func TestPaceIsTheBriefs(t *testing.T) {
+func TestLoadTimesFollowConcurrency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := New(Options{})
-		alone := together(store, 1, "")
+		alone := runConcurrently(store, 1, "")
 		require.InDelta(t, 6.667, alone.Seconds(), 0.01)
-		require.InDelta(t, 10/1.5, together(store, 10, "").Seconds(), 0.1)
-		require.InDelta(t, 30/1.5, together(store, 30, "").Seconds(), 0.5)
+		require.InDelta(t, 10/1.5, runConcurrently(store, 10, "").Seconds(), 0.1)
+		require.InDelta(t, 30/1.5, runConcurrently(store, 30, "").Seconds(), 0.5)
 
-		one := together(store, 1, "wind")
+		one := runConcurrently(store, 1, "wind")
 		require.GreaterOrEqual(t, one, DefaultAdapterFastest)
 		require.LessOrEqual(t, one, DefaultAdapterSlowest)
-		require.InDelta(t, float64(one), float64(together(store, 85, "wind")), float64(time.Millisecond))
-		require.InDelta(t, 2*float64(one), float64(together(store, 170, "wind")), float64(one)/5)
+		require.InDelta(t, float64(one), float64(runConcurrently(store, 85, "wind")), float64(time.Millisecond))
+		require.InDelta(t, 2*float64(one), float64(runConcurrently(store, 170, "wind")), float64(one)/5)
 		require.Zero(t, store.Status().InTransit)
 		require.EqualValues(t, 1+10+30+1+85+170, store.Status().LoadsDone)
 
 		store.Faults.Set(Faults{
 			SlowFactor: 3,
 		})
-		require.InDelta(t, 3*alone.Seconds(), together(store, 1, "").Seconds(), 0.01)
+		require.InDelta(t, 3*alone.Seconds(), runConcurrently(store, 1, "").Seconds(), 0.01)
 	})
 }
 
-func TestALoadWithoutItsEngineEnds(t *testing.T) {
+func TestLoadEndsWithItsClient(t *testing.T) {
 	store := New(Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
