--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -8,24 +8,25 @@
 	"github.com/pkg/errors"
 )
 
-// cachedTimeSaving is the share of the first token's time that a cached prompt saves.
+// cachedTimeSaving is the share of the first token's time that is saved if the
+// whole prompt is cached.
 const cachedTimeSaving = 0.8
 
-// The ways in which a request does not get to run.
+// Reasons for which a request is refused without having run.
 var (
 	errQueueFull      = errors.New("queue is full")
 	errDeadlinePassed = errors.New("deadline passed in the queue")
 	errCancelled      = errors.New("cancelled in the queue")
 )
 
-// ticket is a request's place in the queue.
+// ticket is a request's entry in the queue.
 type ticket struct {
 	priority int
 	arrival  int64
-	granted  chan struct{} // closed when the request may run
+	granted  chan struct{} // closed when the request has got a slot
 }
 
-// acquire waits for a slot. Without an error the user must release it.
+// acquire waits for a slot. If it returns nil, the caller must call release.
 func (inc *incarnation) acquire(ctx context.Context, priority int, deadline time.Time) error {
 	queued, err := inc.enqueue(priority)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return int(t.arrival - other.arrival)
 }
 
-// grantFreeSlots gives free slots to the queue; it is called with mu held.
+// grantFreeSlots gives free slots to the head of the queue. The caller holds mu.
 func (inc *incarnation) grantFreeSlots() {
 	for inc.running < inc.engine.options.Slots && len(inc.queue) > 0 {
 		inc.running++
@@ -82,8 +83,8 @@
 	}
 }
 
-// abandon takes a ticket out of the queue, or releases the slot that it was
-// granted in the same moment.
+// abandon removes a ticket from the queue, or releases its slot if it was granted
+// one meanwhile.
 func (inc *incarnation) abandon(queued *ticket) {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -102,12 +103,14 @@
 	inc.grantFreeSlots()
 }
 
-// firstTokenTime is how long the prompt takes.
+// firstTokenTime returns the time to the first token, given the cached share of
+// the prompt.
 func (inc *incarnation) firstTokenTime(cached float64) time.Duration {
 	return inc.applySlowFactor(float64(inc.engine.options.FirstToken) * (1 - cachedTimeSaving*cached))
 }
 
-// tokenTime is how long a further token takes with what runs now.
+// tokenTime returns the time of one further token at the current number of running
+// requests.
 func (inc *incarnation) tokenTime() time.Duration {
 	inc.mu.Lock()
 	occupancy := float64(inc.running) / float64(inc.engine.options.Slots)
@@ -122,7 +125,8 @@
 	return time.Duration(nanoseconds)
 }
 
-// estimateQueueTime estimates when the queue is short again, for Retry-After.
+// estimateQueueTime estimates the time in which a full queue is worked off, for
+// Retry-After.
 func (inc *incarnation) estimateQueueTime() time.Duration {
 	options := &inc.engine.options
 	runTime := options.FirstToken + defaultTokens*2*options.PerToken
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxCacheEvents bounds the cache events that can still be asked for, eventsServed
-	// those of one answer.
+	// maxCacheEvents is the number of cache events kept, maxEventsPerAnswer the
+	// largest number in one answer.
 	maxCacheEvents     = 4096
 	maxEventsPerAnswer = 1024
 )
 
-// prefixCache is the least recently used cache of prompt prefixes, with the
-// events of its changes.
+// prefixCache is an LRU cache of prompt prefixes that records its changes as
+// numbered events.
 type prefixCache struct {
 	capacity        int
-	recent          *list.List // of cachedPrefix, the newest first
+	recent          *list.List // of cachedPrefix, most recently used first
 	byPrefix        map[uint64]*list.Element
 	lastEventNumber int64
 	events          []backend.CacheEvent
@@ -39,8 +39,8 @@
 	}
 }
 
-// lookUpPrefixes returns the share of the chat's prefixes that were cached,
-// and caches all of them.
+// lookUpPrefixes returns the share of the chat's prefixes that were cached, and
+// caches the rest.
 func (inc *incarnation) lookUpPrefixes(chat *engineapi.Chat) float64 {
 	gapInterval := inc.engine.Faults.Get().CacheEventGaps
 	prefixes := chat.Prefixes()
--- a/internal/standin/engine/chat.go
+++ b/internal/standin/engine/chat.go
@@ -16,8 +16,8 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// foreignAttempt and foreignMessage are the neighbour's whose answer
-// ForeignAnswers mixes up.
+// foreignAttempt and foreignMessage belong to the request whose answer the
+// ForeignAnswers fault returns.
 const foreignAttempt = "att-neighbour"
 
 var foreignMessage = engineapi.Message{
@@ -25,7 +25,7 @@
 	Text: "a neighbour",
 }
 
-// call is a chat request as its headers and body give it.
+// call is a chat request, decoded from its headers and body.
 type call struct {
 	request  ident.RequestID
 	attempt  ident.AttemptID
@@ -91,7 +91,7 @@
 	current.serve(ctx, w, call)
 }
 
-// serve takes a call through the queue and runs it.
+// serve queues a call, runs it and counts its outcome.
 func (inc *incarnation) serve(ctx context.Context, w http.ResponseWriter, call *call) {
 	if !inc.isReady(call.chat.Model) {
 		refuseNotRun(w, http.StatusNotFound, "model is not ready here")
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// refuseNotRun refuses with the proof that the request was not run.
+// refuseNotRun refuses a request, with the header that proves that it was not run.
 func refuseNotRun(w http.ResponseWriter, status int, message string) {
 	w.Header().Set(engineapi.HeaderNotRun, engineapi.NotRunProof)
 	refuse(w, status, message)
@@ -151,7 +151,7 @@
 	server.WriteJSON(w, status, body, err)
 }
 
-// hasMarker tells whether the crash marker is set and in the body.
+// hasMarker reports whether a crash marker is set and the body contains it.
 func (c *call) hasMarker(marker string) bool {
 	return marker != "" && bytes.Contains(c.body, []byte(marker))
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,11 @@
-// Package engine stands in for a model engine: continuous batching, a priority
-// queue, a prefix cache, weights in limited memory, orders with fencing
-// numbers, lagging reports, and all the ways in which such a server fails.
+// Package engine is a stand-in for a model engine. It simulates continuous
+// batching, a priority queue, a prefix cache, weights in limited memory, orders
+// with fencing numbers and delayed reports, and the failures of such a server.
+//
+// Engine serves the HTTP API and outlives simulated crashes; incarnation holds all
+// state that a crash loses. Engine.mu guards the current incarnation,
+// incarnation.mu its queue, memory, cache and reports. Each HTTP request, each
+// load and each delayed order has a goroutine; one more records reports.
 //
 // # Usage
 //
@@ -14,27 +19,28 @@
 //		CutStreamAfter: 3,
 //	})
 //
-// # Time
+// # Timing
 //
-// At most Slots requests run, the others wait in a queue of QueueLimit by
-// priority, then by arrival. A request that runs takes
+// At most Slots requests run. Up to QueueLimit others wait in a queue, ordered by
+// priority, then by arrival. A running request takes
 //
 //	first token:  FirstToken * (1 - 0.8*cached) * SlowFactor
 //	each further: PerToken * (1 + running/Slots) * SlowFactor
 //
-// where cached is the share of its messages whose prefix is in the cache, and
-// running is the number that runs at that token.
+// where cached is the share of its messages whose prefix is cached, and running is
+// the number of requests that run when the token is generated.
 //
 // # Answers
 //
-// Tokens follow from the model, the adapter and the last user message alone, but
-// for the version in the first: "briefing/3: echo of <message>", " w0-1c2d", ...
-// So each replica gives the same, and a resumed stream fits its beginning.
+// The first token is "briefing/3: echo of <message>", with the weights' version;
+// the others, such as " w0-1c2d", depend only on the model, the adapter and the
+// last user message. So all replicas give the same answer, and a resumed stream
+// continues where the first one ended.
 //
 // # Faults
 //
-// `POST /faults` takes Faults as JSON and replaces all of them; durations are
-// written "200ms". `GET /stats` gives Stats. Neither fails with the rest.
+// `POST /faults` replaces all Faults with its JSON body; durations are written
+// "200ms". `GET /stats` returns Stats. Both are served regardless of the faults.
 package engine
 
 import (
@@ -51,10 +57,10 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// PathStats is where the engine serves Stats.
+// PathStats is the path of Stats.
 const PathStats = "/stats"
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultMemory           = 80 * unit.Gibibyte
 	DefaultSlots            = 8
@@ -67,7 +73,7 @@
 	DefaultRestartAfter     = 500 * time.Millisecond
 )
 
-// Options are the engine's settings; zero values take the defaults.
+// Options configures an Engine. Zero values take the defaults.
 type Options struct {
 	Name       ident.ServerName
 	Memory     unit.Bytes
@@ -75,55 +81,60 @@
 	QueueLimit int
 	FirstToken time.Duration
 	PerToken   time.Duration
-	// Weights is the weight store's address. Without it a load takes LoadDelay
-	// or AdapterLoadDelay.
+	// Weights is the address of the weight store. If it is empty, a load takes
+	// LoadDelay or AdapterLoadDelay.
 	Weights          string
 	LoadDelay        time.Duration
 	AdapterLoadDelay time.Duration
-	// CacheEntries bounds the prefix cache.
+	// CacheEntries is the capacity of the prefix cache.
 	CacheEntries int
-	// IgnoreFencing makes an engine that takes any order, whoever gives it.
+	// IgnoreFencing makes the engine accept orders without checking their
+	// incarnation and fencing number.
 	IgnoreFencing bool
-	// RestartAfter is how long the engine stays away after a crash.
+	// RestartAfter is the time from a crash to the restart.
 	RestartAfter time.Duration
 }
 
-// Faults are the switches at /faults.
+// Faults are the failures that the engine simulates, set at /faults.
 type Faults struct {
-	// Down cuts each connection without an answer.
+	// Down closes each connection without an answer.
 	Down bool
-	// FreezeRequests takes requests and holds them, also those that run, until it is off.
+	// FreezeRequests accepts requests and holds them, including those that run,
+	// until it is cleared.
 	FreezeRequests bool
-	// SlowFactor makes each token take as many times as long.
+	// SlowFactor multiplies the time of each token, if it is not 0.
 	SlowFactor float64
-	// LoseOrders is how many next orders are answered 202 and dropped.
+	// LoseOrders is the number of next orders that are answered 202 and dropped.
 	LoseOrders int
-	// DelayOrders is how many next orders are answered 202 and looked at after DelayOrdersBy.
+	// DelayOrders is the number of next orders that are answered 202 and executed
+	// after DelayOrdersBy.
 	DelayOrders   int
 	DelayOrdersBy fault.Duration
-	// CrashOnMarker ends the process when it has run the prompt of a request
-	// whose body contains it. It is back after RestartAfter, if that is not 0.
+	// CrashOnMarker crashes the engine after the first token's time of a request
+	// whose body contains this text. RestartAfter, if it is not 0, replaces the
+	// option of that name.
 	CrashOnMarker string
 	RestartAfter  fault.Duration
-	// ReportLag is how old the report is.
+	// ReportLag is the age of the reports served.
 	ReportLag fault.Duration
-	// CacheEventGaps drops each cache event whose number it divides.
+	// CacheEventGaps drops each cache event whose number is a multiple of it.
 	CacheEventGaps int
 	IgnoreFencing  bool
-	// CutStreamAfter cuts the connection after so many tokens, BreakStreamAfter
-	// sends a malformed chunk, EndStreamEarly ends the answer in order but
-	// without the end mark. They hold for every request while they are set.
+	// CutStreamAfter closes the connection after this number of tokens,
+	// BreakStreamAfter sends a malformed chunk, EndStreamEarly ends the HTTP
+	// answer in order but without the end mark. They apply to every request while
+	// they are set.
 	CutStreamAfter   int
 	BreakStreamAfter int
 	EndStreamEarly   int
-	// ForeignAnswers is how many next requests get a neighbour's answer, under
-	// the neighbour's attempt id.
+	// ForeignAnswers is the number of next requests that get the answer of another
+	// request, under that request's attempt id.
 	ForeignAnswers int
-	// LeaveNow refuses new work and reports Leaving.
+	// LeaveNow refuses new requests and reports Leaving.
 	LeaveNow bool
 }
 
-// Engine is the stand-in.
+// Engine is the simulated engine. Create it with New.
 type Engine struct {
 	Faults        fault.Switch[Faults]
 	options       Options
@@ -137,7 +148,7 @@
 	leaving     bool
 }
 
-// New makes an engine with empty memory.
+// New returns an engine without loaded weights. It is not started yet.
 func New(options Options) *Engine {
 	e := &Engine{
 		options: options.withDefaults(),
@@ -168,7 +179,7 @@
 	}
 }
 
-// Start serves the engine and returns the address.
+// Start starts the HTTP server and returns its address.
 func (e *Engine) Start(listen string) (string, error) {
 	router := bunrouter.New()
 	router.POST(engineapi.PathChat, server.Route(e.serveChat))
@@ -187,15 +198,15 @@
 	return address, nil
 }
 
-// Leave refuses new work from now on and reports Leaving, as an engine does
-// that is about to stop.
+// Leave makes the engine refuse new requests and report Leaving, as an engine does
+// before it stops.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// Stop leaves, lets the requests that wait or run end, and ends the engine.
+// Stop calls Leave, waits for the requests that wait or run, and stops the engine.
 func (e *Engine) Stop() error {
 	e.Leave()
 	err := e.server.Stop()
@@ -204,9 +215,8 @@
 	return err
 }
 
-// Crash ends this life of the engine as a killed process does: connections
-// are cut, memory is lost. After the restart time a new incarnation listens on
-// the same address.
+// Crash simulates a killed process: connections are closed and memory is lost.
+// After the restart delay a new incarnation listens on the same address.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -230,7 +240,7 @@
 	e.crashed = false
 }
 
-// Incarnation is the engine's life of now.
+// Incarnation returns the id of the current incarnation.
 func (e *Engine) Incarnation() ident.Incarnation {
 	return e.current().id
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -18,8 +18,8 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// Now and then one request ends each server that runs it, and all that run
-// beside it are cut. The server is back with another life and empty memory.
+// A request can crash each server that runs it, which cuts all other requests on
+// that server. The server restarts with a new incarnation and empty memory.
 func TestMarkedRequestCrashesEngine(t *testing.T) {
 	b := startEngine(t, shortTimes()).loadBriefing()
 	before := b.Incarnation()
@@ -33,7 +33,7 @@
 		report, err := b.client.Report(context.Background(), b.address)
 		return err == nil && report.Incarnation != before && len(report.Residents) == 0
 	}, waitTimeout, pollInterval)
-	require.Equal(t, 1, b.Stats().Runs["of-att-2"], "the ledger outlives the crash")
+	require.Equal(t, 1, b.Stats().Runs["of-att-2"], "the counters survive the crash")
 	require.Equal(t, 1, b.Stats().Crashes)
 
 	old := b.loadOrder("ord-9", "briefing", 1)
@@ -44,7 +44,7 @@
 	require.NoError(t, b.loadBriefing().runCall(chatCall("att-3", "briefing", "some poison here", 5)))
 }
 
-// A server hangs: it takes requests and answers none, its report neither.
+// A frozen server accepts requests but answers none, including its report.
 func TestFrozenEngineHoldsRequests(t *testing.T) {
 	b := startEngine(t, shortTimes()).loadBriefing()
 	b.Faults.Set(Faults{
@@ -65,7 +65,7 @@
 	require.NoError(t, client.Wait())
 }
 
-// A planned stop cuts the briefing that is just being read.
+// A planned stop must not cut running requests.
 func TestStopWaitsForRunningRequests(t *testing.T) {
 	options := shortTimes()
 	options.PerToken = 5 * time.Millisecond
@@ -92,7 +92,8 @@
 	require.Empty(t, b.Stats().Runs)
 }
 
-// All hosts pick the same idle engine, since its report is of long ago.
+// With old reports all hosts pick the same engine, which was idle when it
+// reported.
 func TestReportLagServesOldReport(t *testing.T) {
 	b := startEngine(t, shortTimes())
 	require.Eventually(t, func() bool {
@@ -118,7 +119,8 @@
 	require.Eventually(t, func() bool { return residents() == 1 }, waitTimeout, pollInterval)
 }
 
-// The router believes a prompt cached that was evicted: the event is missing.
+// A router that misses the eviction event still believes that the prompt is
+// cached; a gap in the numbers shows the loss.
 func TestCacheEventsAreNumberedWithGaps(t *testing.T) {
 	options := shortTimes()
 	options.CacheEntries = 2
@@ -185,8 +187,8 @@
 	require.InDelta(t, 1, current.lookUpPrefixes(&call), 0)
 }
 
-// A paying customer's report waits behind status lookups, or a queue without
-// end hides that nothing of it can be answered in time.
+// Without priorities a report waits behind low-priority lookups; without a bound
+// the queue accepts requests that can't be answered in time.
 func TestQueueIsPriorityOrderedAndBounded(t *testing.T) {
 	options := shortTimes()
 	options.Slots = 1
@@ -254,7 +256,7 @@
 	counted.countRun("0")
 	require.Len(t, counted.stats.Runs, maxCountedRequests)
 	require.Equal(t, 5, counted.stats.RunsNotKept)
-	require.Equal(t, 2, counted.stats.Runs["0"], "what is kept is never forgotten")
+	require.Equal(t, 2, counted.stats.Runs["0"], "a kept count is never dropped")
 }
 
 func TestAnswersAreBoundedAtRuneBoundaries(t *testing.T) {
--- a/internal/standin/engine/life.go
+++ b/internal/standin/engine/incarnation.go
@@ -8,11 +8,12 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// id is one incarnation of the engine: all that a crash loses.
+// incarnation is the state of the engine from one start or restart to the next
+// crash.
 type incarnation struct {
 	engine    *Engine
 	id        ident.Incarnation
-	ctx       context.Context // ends with the life
+	ctx       context.Context // cancelled by terminate
 	terminate context.CancelFunc
 
 	mu              sync.Mutex
@@ -26,7 +27,7 @@
 	cancelByAttempt map[ident.AttemptID]context.CancelFunc
 	cache           prefixCache
 	generatedTokens int64
-	tokensPerSecond float64 // tokens a second, smoothed
+	tokensPerSecond float64 // exponentially smoothed
 	history         []backend.Report
 }
 
@@ -42,8 +43,9 @@
 	}
 }
 
-// registerAttempt makes an attempt known to cancels. The context ends with the client's
-// connection, a cancel or the life; leave must be called.
+// registerAttempt makes an attempt known to cancelAttempt. The returned context
+// ends when the client disconnects, the attempt is cancelled or the incarnation
+// ends. The returned function must be called when the attempt is over.
 func (inc *incarnation) registerAttempt(client context.Context, attempt ident.AttemptID) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(client)
 	detach := context.AfterFunc(inc.ctx, cancel)
@@ -59,7 +61,7 @@
 	}
 }
 
-// cancelAttempt tells whether the attempt waited or ran.
+// cancelAttempt cancels an attempt and reports whether it was queued or running.
 func (inc *incarnation) cancelAttempt(attempt ident.AttemptID) bool {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
--- a/internal/standin/engine/memory.go
+++ b/internal/standin/engine/memory.go
@@ -8,37 +8,38 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// resident is a set of weights in memory. Its fields are used with mu held.
+// resident is one set of weights in memory. The incarnation's mu guards it.
 type resident struct {
 	backend.Resident
-	activeRuns int  // requests that run on it
-	unloading  bool // takes no new request, goes when users is 0
-	// loadOrders are the orders that wait for it to be ready, unloads those that
-	// wait for it to be gone.
+	activeRuns int  // running requests that use it
+	unloading  bool // refuses new requests, removed when activeRuns is 0
+	// loadOrders are the orders that are settled when the weights are loaded,
+	// unloadOrders those that are settled when they are removed.
 	loadOrders   []ident.OrderID
 	unloadOrders []ident.OrderID
-	cancelLoad   func() // ends its load
+	cancelLoad   func() // cancels the load
 }
 
 func (r *resident) matches(model ident.ModelName, adapter ident.AdapterName, version ident.Version) bool {
 	return r.Model == model && r.Adapter == adapter && r.Version == version
 }
 
-// isReady tells whether a model or adapter of this name can be run.
+// isReady reports whether a model or adapter of this name can be run.
 func (inc *incarnation) isReady(name string) bool {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
 	return inc.findReady(name) != nil
 }
 
-// acquireWeights is what one run keeps in memory.
+// weightsUse is the weights that one run keeps in memory.
 type weightsUse struct {
 	weights *resident
-	base    *resident // nil for a model itself
+	base    *resident // nil if weights are a model's
 	version ident.Version
 }
 
-// acquireWeights takes the weights of a name for a run; false if they are not ready.
+// acquireWeights keeps the named weights in memory for a run. It returns false if
+// they are not ready.
 func (inc *incarnation) acquireWeights(name string) (weightsUse, bool) {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -58,7 +59,8 @@
 	return used, true
 }
 
-// releaseWeights ends a run's use, and the unload that waited for it.
+// releaseWeights ends a run's use of its weights, and completes an unload that
+// waited for it.
 func (inc *incarnation) releaseWeights(used weightsUse) {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -70,7 +72,8 @@
 	}
 }
 
-// findReady is called with mu held. Of several versions the one loaded last serves.
+// findReady returns the ready weights of a model or adapter name, of several
+// versions the one loaded last. The caller holds mu.
 func (inc *incarnation) findReady(name string) *resident {
 	for i := len(inc.residents) - 1; i >= 0; i-- {
 		weights := inc.residents[i]
@@ -87,8 +90,8 @@
 	return nil
 }
 
-// findBase is the model that an adapter runs on, nil for a model itself or where
-// there is none. It is called with mu held.
+// findBase returns the model that an adapter runs on, or nil for a model's weights
+// or if the model is not ready. The caller holds mu.
 func (inc *incarnation) findBase(weights *resident) *resident {
 	if weights.Adapter == "" {
 		return nil
@@ -110,8 +113,8 @@
 	return used
 }
 
-// removeIfUnused takes weights out of memory if they are to go and nobody uses them. It
-// matches called with mu held.
+// removeIfUnused removes unloading weights that no run uses, and settles their
+// orders. The caller holds mu.
 func (inc *incarnation) removeIfUnused(weights *resident) {
 	if !weights.unloading || weights.activeRuns > 0 {
 		return
--- a/internal/standin/engine/openai_test.go
+++ b/internal/standin/engine/openai_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The form is the API's if its own client reads it, streamed and whole.
+// The API's own client must accept the answers, streamed and whole.
 func TestOpenAIClientReadsAnswers(t *testing.T) {
 	b := startEngine(t, shortTimes()).loadBriefing()
 	transport := &http.Transport{}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// maxSettledOrders bounds the settled orders in a report, seenKept the order ids
-	// that are known as executed.
+	// maxSettledOrders bounds the settled orders in a report, maxSeenOrders the
+	// order ids that are remembered to detect duplicates.
 	maxSettledOrders = 256
 	maxSeenOrders    = 1 << 16
 	// maxLoadAnswerBytes bounds the weight store's answer.
 	maxLoadAnswerBytes = 4 << 10
 )
 
-// orderSet remembers the newest seenKept order ids.
+// orderSet remembers the newest maxSeenOrders order ids.
 type orderSet struct {
 	ids         map[ident.OrderID]struct{}
 	oldestFirst []ident.OrderID
 }
 
-// add tells whether the id is new.
+// add adds an id and reports whether it is new.
 func (s *orderSet) add(id ident.OrderID) bool {
 	if _, seen := s.ids[id]; seen {
 		return false
@@ -79,7 +79,7 @@
 		delay := time.Duration(e.Faults.Get().DelayOrdersBy)
 		e.server.Go(func() error {
 			if server.Pause(current.ctx, delay) {
-				// The report says how it ends, as for any order.
+				// The result of the order is in the report.
 				_ = current.executeOrder(order)
 			}
 			return nil
@@ -94,7 +94,7 @@
 	return accepted
 }
 
-// executeOrder carries an order out, or says why the engine refuses it.
+// executeOrder executes an order, or returns why the engine refuses it.
 func (inc *incarnation) executeOrder(order backend.Order) error {
 	checksFencing := inc.engine.checksFencing()
 	inc.mu.Lock()
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// recordSettled is called with mu held.
+// recordSettled records the result of orders for the report. The caller holds mu.
 func (inc *incarnation) recordSettled(result backend.OrderResult, ids ...ident.OrderID) {
 	for _, id := range ids {
 		inc.settled = append(inc.settled, backend.SettledOrder{
@@ -141,7 +141,8 @@
 	}
 }
 
-// findResident is called with mu held.
+// findResident returns the weights that an order names, or nil. The caller holds
+// mu.
 func (inc *incarnation) findResident(order *backend.Order) *resident {
 	index := slices.IndexFunc(inc.residents, func(weights *resident) bool {
 		return weights.matches(order.Model, order.Adapter, order.Version)
@@ -152,7 +153,8 @@
 	return inc.residents[index]
 }
 
-// startLoad is called with mu held.
+// startLoad reserves the memory of a load order and starts the load. The caller
+// holds mu.
 func (inc *incarnation) startLoad(order backend.Order) {
 	if weights := inc.findResident(&order); weights != nil {
 		inc.joinLoad(weights, order.ID)
@@ -192,9 +194,10 @@
 	}
 }
 
-// canLoad checks what a load needs; it is called with mu held. A load over the
-// free memory is what the system must never order: it is counted, since an
-// engine that obeyed would have died of it.
+// canLoad reports whether an adapter's model is ready and the weights fit into the
+// free memory. A load over the free memory is counted in Overcommits: the
+// scheduler must never order it, since a real engine would crash out of memory.
+// The caller holds mu.
 func (inc *incarnation) canLoad(order *backend.Order) bool {
 	if order.Kind == backend.LoadAdapter {
 		adapter := resident{
@@ -214,7 +217,8 @@
 	return true
 }
 
-// fetchWeights passes the time of a load.
+// fetchWeights waits while the weights are loaded, from the weight store or for
+// the fixed delay.
 func (e *Engine) fetchWeights(ctx context.Context, order *backend.Order) error {
 	if e.options.Weights == "" {
 		delay := e.options.LoadDelay
@@ -251,7 +255,8 @@
 	return nil
 }
 
-// finishLoad ends a load. Weights that were ordered out meanwhile are gone already.
+// finishLoad records the end of a load. Weights that were unloaded meanwhile are
+// already removed.
 func (inc *incarnation) finishLoad(weights *resident, err error) {
 	inc.mu.Lock()
 	defer inc.mu.Unlock()
@@ -268,8 +273,8 @@
 	weights.loadOrders = nil
 }
 
-// startUnload is called with mu held. The memory is free when the last run on
-// the weights ends: no request in flight is cut.
+// startUnload executes an unload order. The memory is free when the last run on
+// the weights ends: no running request is cut. The caller holds mu.
 func (inc *incarnation) startUnload(order backend.Order) {
 	weights := inc.findResident(&order)
 	if weights == nil {
@@ -290,7 +295,8 @@
 	inc.removeIfUnused(weights)
 }
 
-// unloadOrphanAdapters drops the adapters of a model of which no version stays.
+// unloadOrphanAdapters unloads a model's adapters if no version of the model stays
+// loaded.
 func (inc *incarnation) unloadOrphanAdapters(model ident.ModelName) {
 	isKept := func(weights *resident) bool {
 		return weights.Model == model && weights.Adapter == "" && !weights.unloading
--- a/internal/standin/engine/orders_test.go
+++ b/internal/standin/engine/orders_test.go
@@ -15,8 +15,9 @@
 	"cicadaloom/internal/standin/weights"
 )
 
-// All answers of a server stop: two planners each found room for a model, both
-// loaded it, and the engine died for lack of memory. The stand-in counts it.
+// Two schedulers that each find room for a model can order both loads, and a real
+// engine crashes out of memory. The stand-in refuses the second load and counts
+// it.
 func TestOvercommittedLoadIsCounted(t *testing.T) {
 	options := shortTimes()
 	options.Memory = 10
@@ -33,8 +34,9 @@
 	require.Equal(t, 1, b.Stats().Overcommits)
 }
 
-// A paused former leader wakes up and orders a model out that the new leader
-// counts on. An engine that checks fencing numbers refuses; others obey.
+// A former leader that resumes after a pause orders a model unloaded that the new
+// leader relies on. An engine that checks fencing numbers refuses the order;
+// others execute it.
 func TestStaleFencingNumberIsRefused(t *testing.T) {
 	b := startEngine(t, shortTimes())
 	newer := b.loadOrder("ord-1", "briefing", 1)
@@ -72,8 +74,8 @@
 	require.EqualValues(t, 7, b.Report().Fencing)
 }
 
-// An order is answered 202 and never heard of again, or has its effect when
-// the plan has long moved on.
+// An order that was answered 202 may never be executed, or only after newer
+// orders.
 func TestLostAndDelayedOrders(t *testing.T) {
 	b := startEngine(t, shortTimes())
 	b.Faults.Set(Faults{
@@ -109,7 +111,7 @@
 	require.Equal(t, 6, b.Stats().OrdersReceived)
 }
 
-// A chase crew's briefing is cut since its model was ordered out meanwhile.
+// An unload order must not cut an answer that the model is generating.
 func TestUnloadWaitsForRunningRequests(t *testing.T) {
 	options := shortTimes()
 	options.PerToken = 5 * time.Millisecond
@@ -166,7 +168,8 @@
 	require.Len(t, b.Report().Residents, 1, "a failed load frees its memory")
 }
 
-// Whatever is ordered in whatever order, memory holds, and each order ends once.
+// For any sequence of orders the memory limit holds, and each order is settled
+// once.
 func TestMemoryStaysBoundedForAnyOrders(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		options := shortTimes()
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -12,14 +12,16 @@
 )
 
 const (
-	// historyInterval and historyKept bound how exact and how long a report can lag.
+	// historyInterval is the resolution of ReportLag; historyInterval *
+	// maxHistoryReports, one minute, is the longest lag.
 	historyInterval   = 50 * time.Millisecond
 	maxHistoryReports = 1200
-	// rateSmoothing is the share of the newest interval in TokensPerSecond.
+	// rateSmoothing is the weight of the newest interval in the moving average
+	// TokensPerSecond.
 	rateSmoothing = 0.1
 )
 
-// Report is the engine's word on itself, without any lag.
+// Report returns the current report, regardless of ReportLag.
 func (e *Engine) Report() backend.Report {
 	return e.current().report()
 }
@@ -47,7 +49,8 @@
 	return report
 }
 
-// recordReports takes a report at each tick, for ReportLag and the token rate.
+// recordReports records a report at each interval, for ReportLag and the token
+// rate.
 func (e *Engine) recordReports() error {
 	ticker := time.NewTicker(historyInterval)
 	defer ticker.Stop()
@@ -56,7 +59,7 @@
 		case <-ticker.C:
 			e.current().recordReport()
 		case <-e.server.Dying():
-			// Loads and delayed orders would hold the stop up.
+			// Otherwise loads and delayed orders would delay the stop.
 			e.current().terminate()
 			return nil
 		}
@@ -76,7 +79,7 @@
 	}
 }
 
-// reportWithLag is the report as it was so long ago, or the oldest there is.
+// reportWithLag returns the report as it was lag ago, or the oldest recorded one.
 func (inc *incarnation) reportWithLag(lag time.Duration) backend.Report {
 	latest := inc.report()
 	if lag <= 0 {
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -11,7 +11,7 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// brokenChunk is what BreakStreamAfter sends.
+// brokenChunk is the malformed chunk that BreakStreamAfter sends.
 const brokenChunk = `{"id":"broken","object":`
 
 // outcome is how a run ended.
@@ -20,13 +20,13 @@
 const (
 	completed outcome = iota
 	cancelled
-	// connectionCut and endedEarly are the work of fault switches: the connection is
-	// cut, or the answer ends in order before it is whole.
+	// connectionCut and endedEarly are caused by faults: the connection is closed,
+	// or the HTTP answer ends in order before the text is complete.
 	connectionCut
 	endedEarly
 )
 
-// run is one call that has its slot.
+// run is a call that has a slot.
 type run struct {
 	incarnation *incarnation
 	ctx         context.Context
@@ -37,7 +37,7 @@
 	text        strings.Builder
 }
 
-// serve runs the prompt and generates the answer.
+// serve waits for the first token's time and generates the answer.
 func (r *run) serve() outcome {
 	r.answer = engineapi.Answer{
 		ID:      "chatcmpl-" + string(r.call.attempt),
@@ -79,7 +79,8 @@
 	return r.finishAnswer(script.length)
 }
 
-// applyStreamFaults ends the answer where a switch says so, after sent tokens.
+// applyStreamFaults applies the stream faults after the given number of sent
+// tokens. It returns true, with the outcome, if the answer is over.
 func (r *run) applyStreamFaults(sent int) (bool, outcome) {
 	faults := r.incarnation.engine.Faults.Get()
 	switch {
@@ -91,7 +92,7 @@
 		r.sendBrokenChunk()
 		return true, endedEarly
 	case faults.EndStreamEarly > 0 && sent >= faults.EndStreamEarly:
-		// Returning ends the HTTP answer in order, as an engine that stops does.
+		// Returning ends the HTTP answer in order, as an engine does that stops.
 		return true, endedEarly
 	default:
 		return false, completed
@@ -106,7 +107,7 @@
 	server.WriteJSON(r.w, http.StatusOK, []byte(brokenChunk), nil)
 }
 
-// emitToken tells whether the client is still there.
+// emitToken generates one token and reports whether the client is still connected.
 func (r *run) emitToken(text string, first bool) bool {
 	r.incarnation.countToken()
 	r.incarnation.engine.counters.countToken()
@@ -140,7 +141,8 @@
 	return completed
 }
 
-// sendEvent writes one event at once and tells whether the client is still there.
+// sendEvent writes and flushes one event, and reports whether the client is still
+// connected.
 func (r *run) sendEvent(data []byte, err error) bool {
 	if err != nil {
 		return false
--- a/internal/standin/engine/script.go
+++ b/internal/standin/engine/script.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// defaultTokens is the length of an answer whose request gives none, and
-	// maxTokens that of the longest.
+	// defaultTokens is the length of an answer if the request sets none, maxTokens
+	// that of the longest answer.
 	defaultTokens = 16
 	maxTokens     = 4096
-	// maxEchoBytes bounds how much of the message the first token repeats.
+	// maxEchoBytes bounds the part of the message that the first token repeats.
 	maxEchoBytes = 256
 )
 
-// script is the answer to a request, token by token.
+// script generates the tokens of the answer to a request.
 type script struct {
 	model   string
 	version ident.Version
@@ -63,7 +63,8 @@
 	return message[:end]
 }
 
-// promptTokens counts the words of a prompt.
+// promptTokens returns the number of words of a prompt, which stands for its
+// tokens.
 func promptTokens(chat *engineapi.Chat) int {
 	words := 0
 	for i := range chat.Messages {
--- a/internal/standin/engine/bench_test.go
+++ b/internal/standin/engine/setup_test.go
@@ -19,7 +19,7 @@
 	pollInterval = 2 * time.Millisecond
 )
 
-// testEngine is a running engine and a client of it.
+// testEngine is a running engine with a client of it.
 type testEngine struct {
 	*Engine
 	t       *testing.T
@@ -42,7 +42,7 @@
 	return b
 }
 
-// shortTimes has times that tests need not wait for.
+// shortTimes returns options with times short enough for tests.
 func shortTimes() Options {
 	return Options{
 		FirstToken:       time.Millisecond,
@@ -70,7 +70,7 @@
 	return accepted, reason
 }
 
-// orderResult is how an order ended, or empty.
+// orderResult returns the result of an order, or "" if it is not settled.
 func (b *testEngine) orderResult(id ident.OrderID) backend.OrderResult {
 	for _, settled := range b.Report().Settled {
 		if settled.ID == id {
@@ -86,7 +86,7 @@
 	require.Equal(b.t, want, b.orderResult(id))
 }
 
-// loadBriefing loads the model briefing.
+// loadBriefing loads the model "briefing".
 func (b *testEngine) loadBriefing() *testEngine {
 	id := ident.OrderID("ready-" + b.Incarnation())
 	accepted, reason := b.sendOrder(b.loadOrder(id, "briefing", unit.Gibibyte))
@@ -105,7 +105,7 @@
 	}
 }
 
-// startStream sends a chat and waits for its first chunk.
+// startStream sends a chat request and waits for its first chunk.
 func (b *testEngine) startStream(call peer.Call) *peer.Stream {
 	b.t.Helper()
 	stream, err := b.client.Chat(context.Background(), b.address, call)
@@ -115,7 +115,7 @@
 	return stream
 }
 
-// readToEnd reads a stream to its end or error.
+// readToEnd reads a stream to its end mark or an error.
 func readToEnd(stream *peer.Stream) error {
 	defer stream.Close()
 	for {
--- a/internal/standin/engine/ledger.go
+++ b/internal/standin/engine/stats.go
@@ -10,31 +10,31 @@
 	"cicadaloom/internal/standin/server"
 )
 
-// maxCountedRequests bounds the requests whose runs are counted. The first ones are
-// kept, so that a count never begins anew; the rest are RunsNotKept.
+// maxCountedRequests bounds the requests whose runs are counted. The first ones
+// are kept, so that no count restarts; runs of the rest add to RunsNotKept.
 const maxCountedRequests = 1 << 17
 
-// Stats are the engine's counters, over all its lives.
+// Stats are the engine's counters, over all its incarnations.
 type Stats struct {
 	Incarnation ident.Incarnation
-	// Runs counts, for each request id, how often the engine began to run it.
+	// Runs counts, for each request id, how often the engine started to run it.
 	Runs        map[ident.RequestID]int
 	RunsNotKept int
-	// Completed counts whole answers, Cancelled runs whose client went away or
-	// cancelled, Failed those that a fault switch ended.
+	// Completed counts whole answers, Cancelled the runs whose client disconnected
+	// or cancelled, Failed those that a fault ended.
 	Completed       int
 	Cancelled       int
 	Failed          int
 	TokensGenerated int64
 	OrdersReceived  int
-	// Overcommits counts loads over the free memory.
+	// Overcommits counts load orders that exceed the free memory.
 	Overcommits int
 	Crashes     int
-	// RefusedLeaving counts requests that came although the engine was leaving.
+	// RefusedLeaving counts requests that arrived while the engine was leaving.
 	RefusedLeaving int `json:",omitempty"`
 }
 
-// counters counts. Its zero value is empty.
+// counters holds Stats under a lock. The zero value is ready to use.
 type counters struct {
 	mu    sync.Mutex
 	stats Stats
