--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,5 +1,6 @@
-// Package fault has the switch by which tests and operators make a stand-in
-// fail: a struct of faults, read by the stand-in and set over HTTP.
+// Package fault has Switch, which holds the simulated faults of a stand-in: a
+// struct that the stand-in reads and that tests set directly and operators over
+// HTTP. A Switch is safe for concurrent use.
 //
 // # Usage
 //
@@ -11,10 +12,10 @@
 //	var faults fault.Switch[Faults]
 //	router.POST("/faults", server.Route(faults.ServeHTTP))
 //	if faults.Get().Down { ... }
-//	if faults.Take(func(f *Faults) *int { return &f.Lose }) { ... }
+//	if faults.TakeOne(func(f *Faults) *int { return &f.Lose }) { ... }
 //
-// `POST /faults` replaces all faults: what its JSON leaves out is off again,
-// so `{}` heals the stand-in. `GET /faults` shows them.
+// `POST /faults` replaces all faults: fields missing from its JSON are cleared, so
+// `{}` clears all. `GET /faults` returns them.
 package fault
 
 import (
@@ -28,20 +29,21 @@
 	"github.com/pkg/errors"
 )
 
-// Path is where stand-ins serve their switch.
+// Path is the path at which stand-ins serve their Switch.
 const Path = "/faults"
 
 const maxBodyBytes = 64 << 10
 
-// Duration is a length of time that a person writes, as "200ms".
+// Duration is a time.Duration written as a string such as "200ms".
 type Duration time.Duration
 
-// MarshalText writes the duration as time.Duration does.
+// MarshalText formats the duration as time.Duration does.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads what time.ParseDuration reads, of at least 0.
+// UnmarshalText parses what time.ParseDuration accepts. The duration must be at
+// least 0.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -54,15 +56,15 @@
 	return nil
 }
 
-// Switch holds a stand-in's faults. Its zero value has all of them off. T is a
-// struct of plain values.
+// Switch holds a stand-in's faults. T is a struct of plain values. The zero value
+// has no faults set.
 type Switch[T any] struct {
 	mu      sync.Mutex
 	faults  T
-	changed chan struct{} // closed at the next change; nil while nobody waits
+	changed chan struct{} // closed by the next Set; nil if there is no waiter
 }
 
-// Get returns the faults as they are.
+// Get returns the current faults.
 func (s *Switch[T]) Get() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +82,7 @@
 	}
 }
 
-// SetJSON replaces all faults by those in the JSON, as a POST does.
+// SetJSON replaces all faults with those in the JSON, as a POST does.
 func (s *Switch[T]) SetJSON(from io.Reader) error {
 	faults, err := decodeFaults[T](from)
 	if err != nil {
@@ -90,8 +92,8 @@
 	return nil
 }
 
-// Changed returns a channel that is closed when the faults are set next. Take
-// it before Get: then no change between the two is missed.
+// Changed returns a channel that is closed when the faults are set next. Call it
+// before Get, so that no change between the two calls is missed.
 func (s *Switch[T]) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +103,8 @@
 	return s.changed
 }
 
-// TakeOne counts a fault of the kind "the next n" down and tells whether it was
-// this one's turn.
+// TakeOne decrements a counter of faults that apply to the next n events, and
+// reports whether the fault applies to this one.
 func (s *Switch[T]) TakeOne(count func(*T) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +116,7 @@
 	return true
 }
 
-// ServeHTTP shows the faults on GET and replaces them on POST.
+// ServeHTTP returns the faults on GET and replaces them on POST.
 func (s *Switch[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		if err := s.SetJSON(r.Body); err != nil {
@@ -128,7 +130,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // the reader is gone: nothing to tell it
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
 
 func decodeFaults[T any](from io.Reader) (T, error) {
@@ -138,7 +140,8 @@
 		return faults, errors.Wrap(err, "faults")
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
-	// A misspelt switch that is silently off would make a test pass for nothing.
+	// A misspelt field would be ignored, and a test of that fault would pass
+	// without it.
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&faults); err != nil {
 		return faults, errors.Wrap(err, "faults")
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -36,7 +36,7 @@
 	require.JSONEq(t, `{"Down":false,"Lose":1,"DelayBy":"0s"}`, answer.Body.String())
 }
 
-// A test of a fault passes for nothing: its switch was misspelt and never on.
+// If a misspelt fault were accepted, its test would pass without the fault.
 func TestInvalidFaultsAreRejectedWithoutChange(t *testing.T) {
 	var s Switch[faults]
 	post(&s, `{"Down":true}`)
