--- a/internal/standin/hostlist/hostlist.go
+++ b/internal/standin/hostlist/hostlist.go
@@ -1,4 +1,5 @@
-// Package hostlist stands in for the platform's list of live and leaving hosts.
+// Package hostlist is a stand-in for the platform's list of live and leaving
+// hosts.
 //
 // # Usage
 //
@@ -8,10 +9,11 @@
 //	address, err := list.Start("127.0.0.1:0")
 //	defer list.Stop()
 //
-// `GET /hosts` serves the list as it was Lag ago; `PUT /hosts/{name}` and
-// `DELETE /hosts/{name}` change it at once. The fault switches are Down (every
-// connection is cut), FreezeRequests (requests hang until it is off) and Lag,
-// which replaces the option when it is not 0.
+// `GET /hosts` returns the list as it was Lag ago; `PUT /hosts/{name}` and `DELETE
+// /hosts/{name}` change it at once. Register and Deregister send these requests.
+// The faults, set at /faults, are Down (connections are closed without an answer),
+// FreezeRequests (requests wait until it is cleared) and Lag, which replaces the
+// option if it is not 0.
 package hostlist
 
 import (
@@ -31,23 +33,23 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// maxVersions bounds the past lists that a lag can reach.
+// maxVersions bounds the past lists kept for Lag.
 const maxVersions = 1024
 
-// Options are the list's settings.
+// Options configures a List.
 type Options struct {
-	// Lag is how old the served list is.
+	// Lag is the age of the list served.
 	Lag time.Duration
 }
 
-// Faults are the switches at /faults.
+// Faults are the failures that the list simulates, set at /faults.
 type Faults struct {
 	Down           bool
 	FreezeRequests bool
 	Lag            fault.Duration
 }
 
-// List is the stand-in.
+// List is the simulated host list. Create it with New.
 type List struct {
 	Faults  fault.Switch[Faults]
 	options Options
@@ -55,16 +57,16 @@
 
 	mu       sync.Mutex
 	servers  map[ident.ServerName]backend.Server
-	versions []version // the newest last
+	versions []version // oldest first
 }
 
-// version is the list from an instant on.
+// version is the contents of the list from validFrom to the next version.
 type version struct {
 	validFrom time.Time
 	servers   []backend.Server
 }
 
-// New makes an empty list.
+// New returns an empty list that is not started yet.
 func New(options Options) *List {
 	return &List{
 		options: options,
@@ -72,7 +74,7 @@
 	}
 }
 
-// Start serves the list and returns the address.
+// Start starts the HTTP server and returns its address.
 func (l *List) Start(listen string) (string, error) {
 	router := bunrouter.New()
 	router.GET(engineapi.PathHosts, server.Route(l.serveList))
@@ -83,7 +85,7 @@
 	return l.server.Start(listen, l.server.ApplyFaults(l.requestFaults(), router))
 }
 
-// Stop ends the stand-in.
+// Stop stops the HTTP server.
 func (l *List) Stop() error {
 	return l.server.Stop()
 }
@@ -104,7 +106,7 @@
 	l.recordVersion()
 }
 
-// recordVersion is called with mu held.
+// recordVersion appends the current contents to the versions. The caller holds mu.
 func (l *List) recordVersion() {
 	servers := slices.SortedFunc(maps.Values(l.servers), func(a, b backend.Server) int {
 		return strings.Compare(string(a.Name), string(b.Name))
@@ -118,7 +120,7 @@
 	}
 }
 
-// Served returns the list as it is served now.
+// Served returns the list as `GET /hosts` returns it now.
 func (l *List) Served() []backend.Server {
 	lag := l.options.Lag
 	if override := time.Duration(l.Faults.Get().Lag); override > 0 {
--- a/internal/standin/hostlist/register.go
+++ b/internal/standin/hostlist/register.go
@@ -15,7 +15,7 @@
 
 const maxAnswerBytes = 4 << 10
 
-// Register puts a host into the list at address, or changes its entry.
+// Register adds a host to the list at address, or replaces its entry.
 func Register(ctx context.Context, address string, host backend.Server) error {
 	body, err := engineapi.EncodeServer(host)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return sendChange(ctx, address, http.MethodPut, host.Name, body)
 }
 
-// Deregister takes a host off the list at address.
+// Deregister removes a host from the list at address.
 func Deregister(ctx context.Context, address string, name ident.ServerName) error {
 	return sendChange(ctx, address, http.MethodDelete, name, nil)
 }
