--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain stands in for a plain service, such as a dispatch desk or a
-// booking system: it echoes each request and counts what it ran.
+// Package plain is a stand-in for a plain service, such as a dispatch desk or a
+// booking system: it echoes each request and counts how often it ran each one.
 //
 // # Usage
 //
@@ -7,10 +7,13 @@
 //	address, err := service.Start("127.0.0.1:0")
 //	defer service.Stop()
 //
-// Any method and path is answered with status 200 and an Echo as JSON, after
-// Work. At most Slots requests run at once; QueueLimit wait for them, in order
-// of arrival. `GET /stats` gives Stats, `GET /control/report` the load. The
-// fault switches at /faults are Faults.
+// Any method and path is answered with status 200 and an Echo as JSON, after Work.
+// At most Slots requests run at once; QueueLimit others wait, in order of arrival.
+// `GET /stats` returns Stats, `GET /control/report` the server load. Faults are
+// set at /faults.
+//
+// Each request runs in the goroutine of its HTTP handler; a mutex guards the
+// counters.
 package plain
 
 import (
@@ -30,10 +33,10 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// PathStats is where the service gives its counters.
+// PathStats is the path of Stats.
 const PathStats = "/stats"
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultSlots      = 16
 	DefaultQueueLimit = 64
@@ -41,34 +44,35 @@
 )
 
 const (
-	// maxCountedRuns bounds the ids and bodies whose runs are counted; the first are
-	// kept, so that a count never begins anew.
+	// maxCountedRuns bounds the request ids and the bodies whose runs are counted.
+	// The first ones are kept, so that no count restarts.
 	maxCountedRuns    = 1 << 17
 	retryAfterSeconds = 1
 )
 
-// Options are the service's settings; zero values take the defaults.
+// Options configures a Service. Zero values take the defaults.
 type Options struct {
 	Slots      int
 	QueueLimit int
-	// Work is how long a request runs.
+	// Work is the time that a request runs.
 	Work time.Duration
 }
 
-// Faults are the switches at /faults.
+// Faults are the failures that the service simulates, set at /faults.
 type Faults struct {
-	// Down cuts each connection before anything is run.
+	// Down closes each connection before the request is run.
 	Down bool
-	// FreezeRequests holds requests until it is off, and runs them then, also
-	// those whose caller has given up: so a paused process does.
+	// FreezeRequests holds requests until it is cleared, then runs them, including
+	// those whose client has disconnected, as a paused process does.
 	FreezeRequests bool
-	// CutAfterRun is how many next requests are run and then cut without an answer.
+	// CutAfterRun is the number of next requests that are run but whose connection
+	// is closed without an answer.
 	CutAfterRun int
-	// Refuse refuses with the proof that the request was not run.
+	// Refuse refuses requests, with the header that proves that they were not run.
 	Refuse bool
-	// LeaveNow refuses too, and reports Leaving.
+	// LeaveNow refuses requests as Refuse does, and reports Leaving.
 	LeaveNow bool
-	// WorkFor replaces Work, if it is not 0.
+	// WorkFor replaces the option Work, if it is not 0.
 	WorkFor fault.Duration
 }
 
@@ -77,7 +81,8 @@
 	Method string
 	Path   string
 	Body   string
-	// Run counts how often this request id was run, this time included.
+	// Run is how often this request id was run, including this time; 0 if runs are
+	// not counted any more.
 	Run int
 }
 
@@ -85,14 +90,14 @@
 type Stats struct {
 	Incarnation ident.Incarnation
 	// Runs counts runs by request id, RunsOfBody by the hash of the body in hex,
-	// which finds a request again that came under a new id.
+	// which identifies a request that was sent again under a new id.
 	Runs        map[ident.RequestID]int
 	RunsOfBody  map[string]int
 	RunsNotKept int
 	Refused     int
 }
 
-// Service is the stand-in.
+// Service is the simulated service. Create it with New.
 type Service struct {
 	Faults      fault.Switch[Faults]
 	options     Options
@@ -106,7 +111,7 @@
 	leaving bool
 }
 
-// New makes a service.
+// New returns a service that is not started yet.
 func New(options Options) *Service {
 	if options.Slots <= 0 {
 		options.Slots = DefaultSlots
@@ -128,7 +133,7 @@
 	}
 }
 
-// Start serves the service and returns the address.
+// Start starts the HTTP server and returns its address.
 func (s *Service) Start(listen string) (string, error) {
 	router := bunrouter.New(bunrouter.WithNotFoundHandler(server.Route(s.serve)))
 	router.GET(engineapi.PathReport, server.Route(s.serveReport))
@@ -138,14 +143,14 @@
 	return s.server.Start(listen, s.server.ApplyFaults(s.requestFaults(), router))
 }
 
-// Leave refuses new work from now on and reports Leaving.
+// Leave makes the service refuse new requests and report Leaving.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Stop leaves, lets the requests in flight end, and ends the service.
+// Stop calls Leave, waits for the requests in flight, and stops the service.
 func (s *Service) Stop() error {
 	s.Leave()
 	return s.server.Stop()
@@ -162,7 +167,7 @@
 	return stats
 }
 
-// BodyHash is the key of a body in Stats.RunsOfBody.
+// BodyHash returns the key of a body in Stats.RunsOfBody.
 func BodyHash(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
@@ -191,7 +196,7 @@
 	}
 	defer func() { <-s.slots }()
 	run := s.countRun(request, body)
-	// A service, unlike an engine, does not stop when its caller goes away.
+	// Unlike an engine, a plain service runs on after its client has disconnected.
 	time.Sleep(s.workTime())
 	if s.Faults.TakeOne(func(f *Faults) *int { return &f.CutAfterRun }) {
 		server.CutConnection()
@@ -205,8 +210,8 @@
 	server.WriteJSON(w, http.StatusOK, answer, err)
 }
 
-// acquire waits for a slot; false where the queue is full. Like the run itself
-// it does not end with its caller.
+// acquire waits for a slot and returns false if the queue is full. Like the run
+// itself it continues after the client has disconnected.
 func (s *Service) acquire() bool {
 	select {
 	case s.slots <- struct{}{}:
--- a/internal/standin/plain/plain_test.go
+++ b/internal/standin/plain/plain_test.go
@@ -58,8 +58,8 @@
 	return len(b.slots)
 }
 
-// A mother is told that her reservation was not made, and it is: its host gave
-// up on a service that hung, and the service ran it when it woke up.
+// A service that was frozen while its client timed out runs the request when it
+// resumes, after the caller was told that it failed.
 func TestFrozenServiceRunsAbandonedRequest(t *testing.T) {
 	b := startService(t, Options{})
 	b.Faults.Set(Faults{
