--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform runs the whole of the platform's stand-ins in one process:
+// Package platform runs the stand-ins of a whole platform in one process:
 // key-value service, host list, weight store, model engines and plain services.
 //
 // # Usage
@@ -12,6 +12,8 @@
 //	})
 //	defer p.Stop()
 //	address, err := p.AddEngine("gpu-1", engine.Options{})
+//
+// The methods of a Platform must not be called concurrently.
 package platform
 
 import (
@@ -29,24 +31,24 @@
 	"cicadaloom/internal/standin/weights"
 )
 
-// anyPortAddress lets the system choose the port of a stand-in.
+// anyPortAddress listens on a free port that the system chooses.
 const anyPortAddress = "127.0.0.1:0"
 
-// Place is where a host stands.
+// Place is the location of a host.
 type Place struct {
 	DataCentre ident.DataCentre
 	Region     ident.Region
 }
 
-// Options say how the platform behaves.
+// Options configures a Platform.
 type Options struct {
-	// Place is for all hosts that are added without one.
+	// Place is the location of all hosts that are added.
 	Place Place
-	// LoadsPerSecond is the weight store's pace; zero takes the users'.
+	// LoadsPerSecond is the weight store's load rate; zero takes its default.
 	LoadsPerSecond float64
 }
 
-// Platform is a running platform with the addresses of its parts.
+// Platform is a running platform, with its stand-ins and their addresses.
 type Platform struct {
 	KeyValue    string
 	HostList    string
@@ -62,12 +64,12 @@
 	running []stopper
 }
 
-// stopper is a stand-in that runs.
+// stopper is a running stand-in.
 type stopper interface {
 	Stop() error
 }
 
-// Start starts the platform without any backend server.
+// Start starts the platform without backend servers.
 func Start(options Options) (*Platform, error) {
 	p := &Platform{
 		Store: etcd.New(etcd.Options{}),
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// AddEngine starts a model engine and puts it on the list.
+// AddEngine starts a model engine, registers it in the host list and returns its
+// address.
 func (p *Platform) AddEngine(name ident.ServerName, options engine.Options) (string, error) {
 	options.Name = name
 	options.Weights = p.WeightStore
@@ -122,7 +125,8 @@
 	})
 }
 
-// AddPlain starts a plain service and puts it on the list.
+// AddPlain starts a plain service, registers it in the host list and returns its
+// address.
 func (p *Platform) AddPlain(name ident.ServerName, service ident.ServiceName, options plain.Options) (string, error) {
 	added := plain.New(options)
 	address, err := added.Start(anyPortAddress)
@@ -139,7 +143,7 @@
 	})
 }
 
-// AddEntryHost puts an entry host on the list, as the platform would.
+// AddEntryHost registers an entry host in the host list, as the platform does.
 func (p *Platform) AddEntryHost(name ident.HostID, peerAddress string) error {
 	return p.register(backend.Server{
 		Name:    ident.ServerName(name),
@@ -148,8 +152,8 @@
 	})
 }
 
-// HostSettings gives the settings of an entry host in front of this platform: the
-// defaults, at the platform's place, at whatever ports are free.
+// HostSettings returns the settings of an entry host that uses this platform: the
+// defaults, with the platform's location and with free ports.
 func (p *Platform) HostSettings(name ident.HostID) settings.Settings {
 	result := settings.Default()
 	result.Host = settings.Host{
@@ -165,7 +169,7 @@
 		Operators: anyPortAddress,
 		Peers:     anyPortAddress,
 	}
-	// There is no balancer in front of it.
+	// No load balancer stands in front of the host.
 	result.Callers.LameDuck = 0
 	result.Platform = settings.Platform{
 		KeyValue: []string{p.KeyValue},
@@ -181,8 +185,8 @@
 	return errors.Wrap(hostlist.Register(context.Background(), p.HostList, host), "host list")
 }
 
-// Stop stops everything, the newest first. It is over when all have ended;
-// stand-ins keep nothing that an error could lose.
+// Stop stops everything, in reverse order of start, and returns when all stand-ins
+// have ended. Errors are ignored: stand-ins have no data to lose.
 func (p *Platform) Stop() {
 	for i := len(p.running) - 1; i >= 0; i-- {
 		_ = p.running[i].Stop()
