--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay stands between two processes and fails as networks do: it cuts
-// connections, swallows what is sent, delays it, and lets only so much through.
+// Package relay is a TCP proxy that simulates network failures between two
+// processes: it can close connections, discard and delay data, and limit the
+// bandwidth.
 //
 // # Usage
 //
@@ -7,11 +8,13 @@
 //		Target: "127.0.0.1:2379",
 //	})
 //	address, err := r.Start("127.0.0.1:0")
+//	defer r.Stop()
 //	r.Faults.Set(relay.Faults{
 //		Cut: true,
 //	})
 //
-// The faults hold for connections that are open already as well as for new ones.
+// Faults apply to open connections as well as to new ones. Each connection has a
+// goroutine for each direction and one that waits for its end.
 package relay
 
 import (
@@ -26,22 +29,23 @@
 	"cicadaloom/internal/standin/fault"
 )
 
-// Faults are what a relay can do to its connections.
+// Faults are the failures that a relay simulates.
 type Faults struct {
-	// Cut closes all connections and takes no new ones.
+	// Cut closes all connections, and closes new ones at once.
 	Cut bool
-	// Swallow keeps connections open and drops what is sent, as a network does
-	// that has failed without a word.
+	// Swallow keeps connections open but discards the data, as a network does that
+	// drops packets silently.
 	Swallow bool
-	// Delay is added to each piece on its way.
+	// Delay is added to each chunk of data.
 	Delay fault.Duration
-	// BytesPerSecond bounds each direction of all connections together; 0 is no
-	// bound.
+	// BytesPerSecond limits each direction of all connections together; 0 is no
+	// limit.
 	BytesPerSecond int
 }
 
-// Options say where a relay leads to.
+// Options configures a Relay.
 type Options struct {
+	// Target is the address to which connections are forwarded.
 	Target string
 }
 
@@ -50,7 +54,7 @@
 	dialTimeout = 2 * time.Second
 )
 
-// Relay is one relay. Make it with New.
+// Relay is the proxy. Create it with New.
 type Relay struct {
 	Faults   fault.Switch[Faults]
 	options  Options
@@ -60,7 +64,7 @@
 	toClient *rate.Limiter
 }
 
-// New returns a relay that is not yet listening.
+// New returns a relay that is not started yet.
 func New(options Options) *Relay {
 	return &Relay{
 		options:  options,
@@ -80,7 +84,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Stop closes everything.
+// Stop closes the listener and all connections.
 func (r *Relay) Stop() error {
 	r.tomb.Kill(nil)
 	_ = r.listener.Close()
@@ -101,7 +105,8 @@
 	}
 }
 
-// proxyConnection carries one connection until either side or the relay ends it.
+// proxyConnection forwards one connection until either side closes it, the Cut
+// fault is set or the relay stops.
 func (r *Relay) proxyConnection(client net.Conn) error {
 	target, err := net.DialTimeout("tcp", r.options.Target, dialTimeout)
 	if err != nil {
@@ -118,7 +123,7 @@
 	return nil
 }
 
-// waitForCut returns when the connection has ended or is to be cut.
+// waitForCut returns when the connection has ended or the Cut fault is set.
 func (r *Relay) waitForCut(ctx context.Context) {
 	for {
 		changed := r.Faults.Changed()
@@ -147,7 +152,7 @@
 	}
 }
 
-// forward sends one piece on, as the faults have it, and tells whether it went on.
+// forward writes one chunk as the faults allow, and reports whether to continue.
 func (r *Relay) forward(ctx context.Context, to net.Conn, chunk []byte, limiter *rate.Limiter) bool {
 	faults := r.Faults.Get()
 	if faults.Swallow {
