--- a/internal/standin/server/gate.go
+++ b/internal/standin/server/faults.go
@@ -12,25 +12,27 @@
 	"github.com/uptrace/bunrouter"
 )
 
-// BodyLimit bounds a request's body.
+// BodyLimit is the largest request body, in bytes.
 const BodyLimit = 8 << 20
 
-// RequestFaults is how a stand-in's switches fail its requests.
+// RequestFaults tells a Server which faults apply to its requests.
 type RequestFaults struct {
-	// Changed returns a channel that is closed when the switches change next.
+	// Changed returns a channel that is closed when the faults change next.
 	Changed func() <-chan struct{}
-	// IsFrozen holds requests until it is false, Down cuts them.
+	// IsFrozen reports whether requests are held, IsDown whether their connections
+	// are closed.
 	IsFrozen func() bool
 	IsDown   func() bool
-	// ExemptPaths has the paths that get through whatever the switches say.
+	// ExemptPaths are the paths that no fault applies to.
 	ExemptPaths []string
-	// IgnoreCancel holds a request also when its client has gone, as a paused
-	// process does that took it.
+	// IgnoreCancel holds a request even after its client has disconnected, as a
+	// paused process does with a request that it has received.
 	IgnoreCancel bool
 }
 
-// ApplyFaults puts a gate before a handler. The body of each request is read first:
-// only then does net/http notice that a client went away.
+// ApplyFaults returns a handler that applies the faults before it calls next. It
+// reads the body of each request first: only then does net/http notice that a
+// client has disconnected.
 func (s *Server) ApplyFaults(faults RequestFaults, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if slices.Contains(faults.ExemptPaths, r.URL.Path) {
@@ -50,8 +52,8 @@
 	})
 }
 
-// WaitWhileFrozen waits while the gate is frozen, and tells whether to go on: not when the
-// faults is down, the context ended or the server stops.
+// WaitWhileFrozen waits while requests are frozen. It returns false if the request
+// must not go on: the service is down, the context has ended or the server stops.
 func (s *Server) WaitWhileFrozen(ctx context.Context, faults RequestFaults) bool {
 	for {
 		change := faults.Changed()
@@ -68,7 +70,7 @@
 	}
 }
 
-// Pause tells whether the time passed before the context ended.
+// Pause waits for the given time. It returns false if the context ends earlier.
 func Pause(ctx context.Context, length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -80,9 +82,9 @@
 	}
 }
 
-// Route makes a handler for bunrouter. Its own adapter recovers from every
-// panic, also from the one by which Cut has net/http drop the connection: a cut
-// answer would look like one that ended in order.
+// Route adapts a handler to bunrouter. The adapter of bunrouter itself recovers
+// from all panics, including the one by which CutConnection makes net/http close
+// the connection: the client would take the cut answer for a complete one.
 func Route(handler http.HandlerFunc) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		handler(w, r.Request)
@@ -90,8 +92,8 @@
 	}
 }
 
-// PathParam reads a part of the path. Where a path has escapes that matter, such as
-// %2F, bunrouter matches it as it came and leaves them in.
+// PathParam returns a path parameter. If the path has escapes that matter, such as
+// %2F, bunrouter matches the escaped path and leaves the escapes in the parameter.
 func PathParam(r bunrouter.Request, name string) string {
 	value := r.Param(name)
 	if r.URL.RawPath == "" {
@@ -104,13 +106,15 @@
 	return unescaped
 }
 
-// CutConnection ends a request by closing its connection without an answer. It does not return.
+// CutConnection ends a request by closing its connection without an answer. It
+// panics, and so does not return.
 func CutConnection() {
 	panic(http.ErrAbortHandler)
 }
 
-// ReadBody reads a request's body to its end and puts it back. Only then does
-// net/http notice that a client went away.
+// ReadBody reads a request's whole body and puts it back. Only then does net/http
+// notice that a client has disconnected. If it returns false, the answer is
+// written.
 func ReadBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, BodyLimit))
 	if err != nil {
@@ -121,7 +125,7 @@
 	return body, true
 }
 
-// WriteJSON writes an encoded answer.
+// WriteJSON writes an encoded answer, or err with status 500.
 func WriteJSON(w http.ResponseWriter, status int, body []byte, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -129,5 +133,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the reader is gone: nothing to tell it
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -1,6 +1,9 @@
-// Package server is the HTTP process life that stand-ins share: listening under
-// a tomb, a graceful stop, a crash with a later restart, and requests that hang
-// or are cut off.
+// Package server is the HTTP server that stand-ins share: it listens, stops
+// gracefully, simulates a crash with a later restart, and holds or cuts requests
+// as the faults say.
+//
+// A Server's goroutines run in a tomb, and a mutex guards its fields.
+// Server.ApplyFaults wraps a handler with the faults.
 //
 // # Usage
 //
@@ -24,24 +27,25 @@
 const (
 	// shutdownTimeout is how long Stop waits for requests in flight.
 	shutdownTimeout = 15 * time.Second
-	// readHeaderTimeout bounds how long a client may take over a header.
+	// readHeaderTimeout bounds the time in which a client sends a request's
+	// header.
 	readHeaderTimeout = 10 * time.Second
-	// relistenInterval is between two tries to get the old address back.
+	// relistenInterval is the time between attempts to listen on the old address.
 	relistenInterval = 20 * time.Millisecond
 )
 
-// Server is one stand-in's HTTP server. Its zero value is ready to start, once.
+// Server is a stand-in's HTTP server. The zero value can be started once.
 type Server struct {
 	tomb      tomb.Tomb
 	mu        sync.Mutex
-	http      *http.Server // nil between a crash and the restart
+	http      *http.Server // nil from a crash to the restart
 	handler   http.Handler
 	address   string
 	stopping  chan struct{} // closed when Stop begins
-	isStopped bool          // no goroutine starts any more
+	isStopped bool          // no new goroutine may start
 }
 
-// Start listens and serves, and returns the address that it got.
+// Start listens, serves, and returns the address.
 func (s *Server) Start(listen string, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -52,8 +56,8 @@
 	s.handler = handler
 	s.address = listener.Addr().String()
 	s.stopping = make(chan struct{})
-	// A tomb whose last goroutine has ended takes no other. This one keeps it
-	// open between a crash and the restart, and while Stop waits for requests.
+	// A tomb accepts no goroutine after its last one has ended. This one keeps it
+	// alive between a crash and the restart, and while Stop waits for requests.
 	s.tomb.Go(func() error {
 		<-s.tomb.Dying()
 		return nil
@@ -62,8 +66,8 @@
 	return s.address, nil
 }
 
-// Go runs f along with the server; f must end when Dying is closed. After the
-// stop it does nothing.
+// Go runs f in the server's tomb; f must return when Dying is closed. Before the
+// start and after the stop Go does nothing.
 func (s *Server) Go(f func() error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,12 +76,13 @@
 	}
 }
 
-// Dying is closed when the server has begun to stop and its requests are done.
+// Dying returns a channel that is closed when the server stops and its requests
+// have ended.
 func (s *Server) Dying() <-chan struct{} {
 	return s.tomb.Dying()
 }
 
-// serveListener is called with mu held.
+// serveListener serves in a new goroutine. The caller holds mu.
 func (s *Server) serveListener(listener net.Listener) {
 	server := &http.Server{
 		Handler:           s.handler,
@@ -92,8 +97,8 @@
 	})
 }
 
-// Stop refuses new connections, lets the requests in flight end, and returns
-// when all is over. Requests that hang by a fault are cut off at once.
+// Stop refuses new connections, waits for the requests in flight, and returns when
+// all goroutines have ended. Requests held by a fault are cut at once.
 func (s *Server) Stop() error {
 	s.mu.Lock()
 	if s.stopping == nil { // never started
@@ -122,12 +127,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		_ = server.Close() // the listener is closed already: nothing else to do
+		_ = server.Close() // the listener is closed already
 	}
 }
 
-// Crash closes the listener and every connection at once, as a process that
-// dies. After the pause it calls revive and listens on the same address again.
+// Crash closes the listener and all connections at once, as if the process were
+// killed. After the delay it calls beforeRestart and listens on the same address
+// again.
 func (s *Server) Crash(delay time.Duration, beforeRestart func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +142,7 @@
 		return // crashed already, or stopping
 	}
 	s.http = nil
-	_ = server.Close() // what can't be closed is closed already
+	_ = server.Close() // an error means that it is closed already
 	s.tomb.Go(func() error {
 		if s.sleep(delay) {
 			s.restart(beforeRestart)
@@ -153,7 +159,7 @@
 			s.serveUnlessStopping(listener)
 			return
 		}
-		// The old connections may hold the address for a moment.
+		// The closed connections may still occupy the address for a moment.
 		if !s.sleep(relistenInterval) {
 			return
 		}
@@ -165,13 +171,13 @@
 	defer s.mu.Unlock()
 	select {
 	case <-s.stopping:
-		_ = listener.Close() // it served nothing yet
+		_ = listener.Close() // it has not served anything yet
 	default:
 		s.serveListener(listener)
 	}
 }
 
-// sleep tells whether the pause passed before a stop.
+// sleep waits for the given time. It returns false if the server stops earlier.
 func (s *Server) sleep(length time.Duration) bool {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
--- a/internal/standin/server/server_test.go
+++ b/internal/standin/server/server_test.go
@@ -52,8 +52,8 @@
 	}
 	require.Equal(t, 3, restarts)
 	require.NoError(t, s.Stop())
-	require.NoError(t, s.Stop(), "a second stop does nothing")
-	s.Go(func() error { panic("after the stop nothing starts") })
+	require.NoError(t, s.Stop(), "a second Stop does nothing")
+	s.Go(func() error { panic("Go must not start a goroutine after Stop") })
 }
 
 func TestStopEndsCrashedServer(t *testing.T) {
@@ -66,7 +66,7 @@
 	require.Error(t, err)
 }
 
-// A scenario hangs for good: it froze a stand-in and stops it before the thaw.
+// Stop must not hang when a stand-in is stopped while its requests are frozen.
 func TestStopCutsFrozenRequests(t *testing.T) {
 	var s Server
 	hanging := make(chan struct{})
@@ -90,8 +90,8 @@
 	require.Error(t, client.Wait())
 }
 
-// A cut answer arrives as a whole one: the router's adapter recovered the panic
-// by which the handler cuts.
+// If the router recovers the panic of CutConnection, the client takes a cut answer
+// for a complete one.
 func TestCutReachesClientThroughRouter(t *testing.T) {
 	var s Server
 	router := bunrouter.New()
