--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,4 +1,5 @@
-// Package weights stands in for the platform's weight store: it paces loads.
+// Package weights is a stand-in for the platform's weight store: it simulates the
+// time that loads take.
 //
 // # Usage
 //
@@ -7,20 +8,24 @@
 //	defer store.Stop()
 //
 // `POST /loads` answers when the load is done. A model takes
-// AtOnce/LoadsPerSecond alone, 6.7 s with the defaults, and n models together
-// take max(1, n/AtOnce) times as long: so the whole store gives LoadsPerSecond.
-// An adapter takes between AdapterFastest and AdapterSlowest, by its name, and
-// max(1, n/AdaptersAtOnce) times as long with n in transit. The pace follows n
-// as it changes. `GET /status` tells how many loads go on.
+// AtOnce/LoadsPerSecond alone, 6.7 s with the defaults, and n concurrent models
+// take max(1, n/AtOnce) times as long, so that the whole store completes at most
+// LoadsPerSecond. An adapter takes between AdapterFastest and AdapterSlowest, by
+// the hash of its name, and max(1, n/AdaptersAtOnce) times as long with n
+// concurrent adapters. When n changes, loads in progress speed up or slow down.
+// `GET /status` returns the number of loads in progress and done.
 //
-// The fault switches are Down (connections are cut), FreezeRequests (requests
-// hang until it is off), SlowFactor (all loads take as many times as long) and
-// FailLoads (so many next loads are answered with status 500).
+// The faults, set at /faults, are Down (connections are closed without an answer),
+// FreezeRequests (requests wait until it is cleared), SlowFactor (multiplies the
+// time of all loads, if above 1) and FailLoads (the number of next loads that are
+// answered with status 500).
 //
-// # Source
+// Each load runs in the goroutine of its HTTP handler; a mutex guards the counts.
 //
-// The figures are those of the brief: about one and a half loads a second, ten
-// at once at full speed; adapters 6 to 20 ms up to 85 in transit.
+// # Defaults
+//
+// The defaults are the platform's: about one and a half model loads a second, ten
+// at once at full speed; adapters take 6 to 20 ms with up to 85 in transit.
 package weights
 
 import (
@@ -37,7 +42,7 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultLoadsPerSecond = 1.5
 	DefaultAtOnce         = 10
@@ -46,13 +51,14 @@
 	DefaultAdaptersAtOnce = 85
 )
 
-// A load runs in steps of this length and takes the pace anew at each.
+// A load waits in steps of this length; each step follows the number of loads
+// and the faults at its start.
 const (
 	modelStepTime   = 100 * time.Millisecond
 	adapterStepTime = 2 * time.Millisecond
 )
 
-// Options are the store's settings; zero values take the defaults.
+// Options configures a Store. Zero values take the defaults.
 type Options struct {
 	LoadsPerSecond float64
 	AtOnce         int
@@ -61,7 +67,7 @@
 	AdaptersAtOnce int
 }
 
-// Faults are the switches at /faults.
+// Faults are the failures that the store simulates, set at /faults.
 type Faults struct {
 	Down           bool
 	FreezeRequests bool
@@ -69,7 +75,7 @@
 	FailLoads      int
 }
 
-// Store is the stand-in.
+// Store is the simulated weight store. Create it with New.
 type Store struct {
 	Faults  fault.Switch[Faults]
 	options Options
@@ -81,7 +87,7 @@
 	loadsDone    int64
 }
 
-// New makes a store.
+// New returns a store that is not started yet.
 func New(options Options) *Store {
 	if options.LoadsPerSecond <= 0 {
 		options.LoadsPerSecond = DefaultLoadsPerSecond
@@ -103,7 +109,7 @@
 	}
 }
 
-// Start serves the store and returns the address.
+// Start starts the HTTP server and returns its address.
 func (s *Store) Start(listen string) (string, error) {
 	router := bunrouter.New()
 	router.POST(engineapi.PathLoads, server.Route(s.serveLoad))
@@ -113,12 +119,12 @@
 	return s.server.Start(listen, s.server.ApplyFaults(s.requestFaults(), router))
 }
 
-// Stop ends the stand-in when the loads going on are done.
+// Stop waits for the loads in progress and stops the HTTP server.
 func (s *Store) Stop() error {
 	return s.server.Stop()
 }
 
-// Status tells the loads going on and done.
+// Status returns the number of loads in progress and done.
 func (s *Store) Status() engineapi.WeightStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +168,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// load passes the time of a load and tells whether its client stayed.
+// load waits for the time of a load. It returns false if the client disconnects
+// earlier.
 func (s *Store) load(ctx context.Context, load engineapi.WeightLoad) bool {
 	profile := s.profile(load)
 	s.addCount(profile.concurrent, 1)
@@ -178,7 +185,8 @@
 	return true
 }
 
-// profile is how long a load takes alone, and whom it shares the store with.
+// loadProfile is the time of a load alone, and the loads with which it shares the
+// store's throughput.
 type loadProfile struct {
 	baseTime       time.Duration
 	step           time.Duration
@@ -204,7 +212,7 @@
 	}
 }
 
-// stepTime is how long a step takes at the pace of now.
+// stepTime returns the time of a step at the current number of concurrent loads.
 func (s *Store) stepTime(step time.Duration, profile loadProfile) time.Duration {
 	slowFactor := max(1, s.Faults.Get().SlowFactor)
 	s.mu.Lock()
@@ -213,7 +221,8 @@
 	return time.Duration(float64(step) * overload * slowFactor)
 }
 
-// adapterTime spreads adapters evenly over their range of times.
+// adapterTime returns the time of an adapter's load alone; the hash of the name
+// spreads adapters evenly over the range.
 func (s *Store) adapterTime(name string) time.Duration {
 	spread := uint64(s.options.AdapterSlowest-s.options.AdapterFastest) + 1
 	return s.options.AdapterFastest + time.Duration(xxhash.Sum64String(name)%spread)
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -13,7 +13,7 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// runConcurrently runs so many loads at once and returns how long they took.
+// runConcurrently runs count loads at once and returns the time they took.
 func runConcurrently(store *Store, count int, adapter ident.AdapterName) time.Duration {
 	begin := time.Now()
 	var loads tomb.Tomb
@@ -33,8 +33,8 @@
 	return time.Since(begin)
 }
 
-// The figures are the brief's: one and a half loads a second, ten at once at
-// full speed; adapters 6 to 20 ms up to 85 in transit, proportionally longer
+// The figures are the platform's: one and a half loads a second, ten at once at
+// full speed; adapters 6 to 20 ms with up to 85 in transit, proportionally longer
 // beyond that.
 func TestLoadTimesFollowConcurrency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
