--- a/internal/control/placement/adapters.go
+++ b/internal/control/placement/adapters.go
@@ -5,44 +5,45 @@
 	"cicadaloom/internal/domain/document"
 )
 
-// placeAdapters loads every declared adapter beside every ready replica of its
-// base model, and lets other versions of it go after that.
-func (w *work) placeAdapters() {
-	for i := range w.models {
-		model := &w.models[i]
+// placeAdapters loads every declared adapter on every server with a ready
+// replica of its base model, and then unloads other versions of the adapter.
+func (p *planner) placeAdapters() {
+	for i := range p.models {
+		model := &p.models[i]
 		if len(model.spec.Adapters) == 0 {
 			continue
 		}
 		for _, r := range model.replicas {
-			base := w.resident(r)
-			if base.Ready && !base.Unloading && w.servers[r.server].Usable {
-				w.placeAdaptersAt(model, r)
+			base := p.resident(r)
+			if base.Ready && !base.Unloading && p.servers[r.server].Usable {
+				p.placeAdaptersBeside(model, r)
 			}
 		}
 	}
 }
 
-func (w *work) placeAdaptersAt(model *modelState, r replica) {
+func (p *planner) placeAdaptersBeside(model *modelState, r replica) {
 	for i := range model.spec.Adapters {
 		adapter := &model.spec.Adapters[i]
-		wanted, other := w.findAdapterAt(r.server, model, adapter)
+		wanted, other := p.findAdapterAt(r.server, model, adapter)
 		if wanted == nil {
-			w.loadAdapter(model, r, adapter, other)
+			p.loadAdapter(model, r, adapter, other)
 			continue
 		}
 		if other != nil && wanted.Ready && !wanted.Unloading {
-			w.unload(r.server, other, Move{
+			p.planUnload(r.server, other, Move{
 				Reason: ReasonVersion,
 			})
 		}
 	}
 }
 
-// findAdapterAt returns the declared version of an adapter on a server and
-// another version of it that is not yet on its way out.
-func (w *work) findAdapterAt(server int, model *modelState, adapter *document.Adapter) (*Resident, *Resident) {
+// findAdapterAt returns the declared version of an adapter on a server, and
+// another version of it that is neither loading nor unloading. Either may be
+// nil.
+func (p *planner) findAdapterAt(server int, model *modelState, adapter *document.Adapter) (*Resident, *Resident) {
 	var wanted, other *Resident
-	target := &w.servers[server]
+	target := &p.servers[server]
 	for i := range target.Residents {
 		resident := &target.Residents[i]
 		if resident.Model != model.spec.Name || resident.Adapter != adapter.Name {
@@ -59,9 +60,9 @@
 	return wanted, other
 }
 
-func (w *work) loadAdapter(model *modelState, r replica, adapter *document.Adapter, other *Resident) {
-	target := &w.servers[r.server]
-	if w.budget.Adapters <= 0 {
+func (p *planner) loadAdapter(model *modelState, r replica, adapter *document.Adapter, other *Resident) {
+	target := &p.servers[r.server]
+	if p.budget.Adapters <= 0 {
 		return
 	}
 	weights := Weights{
@@ -69,15 +70,15 @@
 		Adapter: adapter.Name,
 		Version: adapter.Version,
 	}
-	// The room was put aside with the base model, so free may be used up: what
-	// counts here is what is really reserved.
+	// The memory was set aside when the base model was placed, so free may be
+	// used up; only Reserved tells whether the adapter fits now.
 	if target.Reserved+adapter.Memory > target.Memory {
-		w.replaceAdapter(model, r, weights, adapter, other)
+		p.replaceAdapter(model, r, weights, adapter, other)
 		return
 	}
 	target.Reserved += adapter.Memory
-	w.budget.Adapters--
-	w.result.Moves = append(w.result.Moves, Move{
+	p.budget.Adapters--
+	p.result.Moves = append(p.result.Moves, Move{
 		Kind:    backend.LoadAdapter,
 		Server:  target.Name,
 		Weights: weights,
@@ -88,20 +89,20 @@
 		Weights: weights,
 		Memory:  adapter.Memory,
 		Loading: true,
-		Since:   w.input.Now,
+		Since:   p.input.Now,
 	})
 }
 
-// replaceAdapter makes room for an adapter by letting its other version go
-// where the adapter is ready elsewhere; else it is blocked.
-func (w *work) replaceAdapter(model *modelState, r replica, weights Weights, adapter *document.Adapter, other *Resident) {
-	if other != nil && w.adapterReadyElsewhere(model, r, other) {
-		w.unload(r.server, other, Move{
+// replaceAdapter makes room for an adapter by unloading its other version, if
+// that is ready on another server; otherwise it reports the adapter as blocked.
+func (p *planner) replaceAdapter(model *modelState, r replica, weights Weights, adapter *document.Adapter, other *Resident) {
+	if other != nil && p.isAdapterReadyElsewhere(model, r, other) {
+		p.planUnload(r.server, other, Move{
 			Reason: ReasonVersion,
 		})
 		return
 	}
-	w.result.Blocked = append(w.result.Blocked, Blocked{
+	p.result.Blocked = append(p.result.Blocked, Blocked{
 		Weights: weights,
 		Why:     BlockedNoRoom,
 		Needs:   adapter.Memory,
--- a/internal/control/placement/bench_test.go
+++ b/internal/control/placement/bench_test.go
@@ -9,9 +9,9 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-type benchSize struct{ models, servers int }
+type fleetSize struct{ models, servers int }
 
-var benchSizes = []benchSize{
+var fleetSizes = []fleetSize{
 	{
 		models:  15,
 		servers: 12,
@@ -26,12 +26,12 @@
 	},
 }
 
-// benchFleet declares models of 20 to 140 units with two replicas at least and
-// five adapters each, on servers of 640.
-func benchFleet(size benchSize) *fleet {
+// benchFleet declares models of 20 to 140 bytes with at least two replicas and
+// five adapters each, on servers with 640 bytes.
+func benchFleet(size fleetSize) *fleet {
 	f := newFleet(size.servers, 640)
 	for i := range size.models {
-		declared := model(fmt.Sprintf("model-%04d", i), "1", unit.Bytes(20+i%7*20), 2, 12)
+		declared := newModel(fmt.Sprintf("model-%04d", i), "1", unit.Bytes(20+i%7*20), 2, 12)
 		for j := range 5 {
 			declared.Adapters = append(declared.Adapters, document.Adapter{
 				Name:    ident.AdapterName(fmt.Sprintf("adapter-%04d-%d", i, j)),
@@ -55,27 +55,27 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		input := f.input(Settings{}, budget)
+		input := f.newInput(Settings{}, budget)
 		b.StartTimer()
 		Plan(input)
 	}
 }
 
-// BenchmarkPlanAtRest plans where all is in place.
-func BenchmarkPlanAtRest(b *testing.B) {
-	for _, size := range benchSizes {
+// BenchmarkPlanStable plans a fleet in which everything is already placed.
+func BenchmarkPlanStable(b *testing.B) {
+	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dmodels/%dservers", size.models, size.servers), func(b *testing.B) {
 			f := benchFleet(size)
-			f.rest(b, Settings{})
-			benchPlan(b, f, plenty)
+			f.planUntilStable(b, Settings{})
+			benchPlan(b, f, unlimited)
 		})
 	}
 }
 
-// BenchmarkPlanEmpty plans the first loads of an empty fleet, as many as the
-// weight store's pace lets start.
-func BenchmarkPlanEmpty(b *testing.B) {
-	for _, size := range benchSizes {
+// BenchmarkPlanFirstLoads plans the first loads of an empty fleet, within the
+// load rate limit of the weight store.
+func BenchmarkPlanFirstLoads(b *testing.B) {
+	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dmodels/%dservers", size.models, size.servers), func(b *testing.B) {
 			benchPlan(b, benchFleet(size), Budget{
 				Models:   3,
@@ -85,22 +85,22 @@
 	}
 }
 
-// BenchmarkPlanAll plans the whole of an empty fleet in one round.
-func BenchmarkPlanAll(b *testing.B) {
-	for _, size := range benchSizes {
+// BenchmarkPlanWholeFleet plans all loads of an empty fleet in one call.
+func BenchmarkPlanWholeFleet(b *testing.B) {
+	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dmodels/%dservers", size.models, size.servers), func(b *testing.B) {
-			benchPlan(b, benchFleet(size), plenty)
+			benchPlan(b, benchFleet(size), unlimited)
 		})
 	}
 }
 
-// BenchmarkPlanBurst plans where a tenth of the models want ten times as much
-// and memory is full, so that each wish looks for a replica to give way.
+// BenchmarkPlanBurst plans for a tenfold demand for a tenth of the models while
+// memory is full, so that each scale-up searches for a replica to evict.
 func BenchmarkPlanBurst(b *testing.B) {
-	for _, size := range benchSizes {
+	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("%dmodels/%dservers", size.models, size.servers), func(b *testing.B) {
 			f := benchFleet(size)
-			f.rest(b, Settings{})
+			f.planUntilStable(b, Settings{})
 			for i := range f.servers {
 				f.servers[i].Memory = f.servers[i].Reserved + 5
 			}
--- a/internal/control/placement/burst_test.go
+++ b/internal/control/placement/burst_test.go
@@ -10,33 +10,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// burst is what one run of a synthetic tenfold burst gave.
-type burst struct {
-	moves    int
-	attained float64
+// burstResult is the outcome of one run of a synthetic tenfold burst.
+type burstResult struct {
+	moves           int
+	attainedPercent float64
 }
 
-// runBurst lets a tenth of the models rise tenfold within ten minutes, stay for
-// twenty and fall again, four times over, a different tenth each time. A round
-// is ten seconds with at most 15 loads, which is the weight store's pace; loads are ready at its end.
-func runBurst(t testing.TB, servers, models int, weight float64) burst {
+// runBurst raises the demand for a tenth of the models tenfold within ten
+// minutes, keeps it there for twenty and lets it fall again, four times, for a
+// different tenth each time. A round takes ten seconds and has at most 15
+// loads, the load rate limit of the weight store; loads are ready at the end of
+// the round.
+func runBurst(t testing.TB, servers, models int, weight float64) burstResult {
 	f := newFleet(servers, 640)
 	for i := range models {
-		f.models = append(f.models, model(fmt.Sprintf("m-%04d", i), "1", unit.Bytes(40+i%5*25), 2, 12))
+		f.models = append(f.models, newModel(fmt.Sprintf("m-%04d", i), "1", unit.Bytes(40+i%5*25), 2, 12))
 	}
 	settings := Settings{
 		MovesWeight: weight,
 	}
-	f.rest(t, settings)
+	f.planUntilStable(t, settings)
 	clear(f.moves)
-	asked, late := 0.0, 0.0
+	requested, missed := 0.0, 0.0
 	const rounds = 4 * 240
 	for round := range rounds {
 		f.rates = f.rates[:0]
 		for i := range models {
 			rate := 1 + float64(i*7%13)/2
 			if i%10 == round/240 {
-				rate *= 1 + 9*hill(round%240)
+				rate *= 1 + 9*burstLevel(round%240)
 			}
 			f.rates = append(f.rates, Rate{
 				Model:     ident.ModelName(fmt.Sprintf("m-%04d", i)),
@@ -48,27 +50,28 @@
 				PerSecond: rate / 2,
 			})
 		}
-		missed := f.missed(settings)
+		missedNow := f.lateRate(settings)
 		for _, rate := range f.rates {
-			asked += rate.PerSecond
+			requested += rate.PerSecond
 		}
-		late += missed
-		f.round(settings, Budget{
+		missed += missedNow
+		f.planAndApply(settings, Budget{
 			Models: 15,
 		})
 	}
-	total := 0
+	moves := 0
 	for _, count := range f.moves {
-		total += count
+		moves += count
 	}
-	return burst{
-		moves:    total,
-		attained: 100 * (1 - late/asked),
+	return burstResult{
+		moves:           moves,
+		attainedPercent: 100 * (1 - missed/requested),
 	}
 }
 
-// hill rises over 60 rounds, stays for 120 and falls over 60.
-func hill(round int) float64 {
+// burstLevel is the position within a burst, from 0 to 1: it rises over 60
+// rounds, stays for 120 and falls over 60.
+func burstLevel(round int) float64 {
 	switch {
 	case round < 60:
 		return float64(round) / 60
@@ -78,24 +81,23 @@
 	return float64(240-round) / 60
 }
 
-// missed is the rate of late requests by Plan's own measure.
-func (f *fleet) missed(settings Settings) float64 {
-	w := newWork(f.input(settings, Budget{}))
-	missed := 0.0
+// lateRate returns the rate of late requests as estimated by the planner.
+func (f *fleet) lateRate(settings Settings) float64 {
+	p := newPlanner(f.newInput(settings, Budget{}))
+	late := 0.0
 	for i := range f.rates {
 		rate := &f.rates[i]
-		missed += w.late(rate, w.presentIn(&w.models[w.byName[rate.Model]], rate.Region))
+		late += p.lateRate(rate, p.countPresentIn(&p.models[p.modelIndex[rate.Model]], rate.Region))
 	}
-	return missed
+	return late
 }
 
-// The users weigh moves differently. A greater weight must give no more moves
-// at the ends of the scale, and what it costs in requests answered in time is
-// logged. Between neighbouring weights neither figure need fall: the moves are
-// chosen one at a time, and an early small one can stand in the way of a later
-// great one.
-func TestMovesWeightOverTenfoldBurst(t *testing.T) {
-	for _, size := range []benchSize{
+// MovesWeight lets operators trade moves against attainment. A greater weight
+// must give fewer moves and lower attainment at the ends of the scale; the
+// figures are logged. Neighbouring weights need not be ordered: moves are
+// chosen one at a time, and an early small move can prevent a better one later.
+func TestMovesWeightLimitsMovesInBurst(t *testing.T) {
+	for _, size := range []fleetSize{
 		{
 			servers: 12,
 			models:  15,
@@ -109,16 +111,16 @@
 			models:  150,
 		},
 	} {
-		results := make(map[float64]burst)
+		results := make(map[float64]burstResult)
 		for _, weight := range []float64{0, 0.25, 0.5, 0.75, 1} {
 			result := runBurst(t, size.servers, size.models, weight)
 			t.Logf("%d servers, %d models, MovesWeight %.2f: %d moves, %.2f%% in time",
-				size.servers, size.models, weight, result.moves, result.attained)
+				size.servers, size.models, weight, result.moves, result.attainedPercent)
 			results[weight] = result
 		}
 		require.Zero(t, results[1].moves)
 		require.LessOrEqual(t, results[0.75].moves, results[0].moves)
-		require.Greater(t, results[0].attained, results[0.75].attained)
-		require.Greater(t, results[0.75].attained, results[1].attained)
+		require.Greater(t, results[0].attainedPercent, results[0.75].attainedPercent)
+		require.Greater(t, results[0.75].attainedPercent, results[1].attainedPercent)
 	}
 }
--- a/internal/control/placement/demand.go
+++ b/internal/control/placement/demand.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// usefulShare is the part of a replica's rate that it serves in time; above
-	// it queues grow and promises break.
-	usefulShare = 0.8
-	// leastBenefit is the least part of a replica's rate that a move must bring,
-	// whatever the weights: rates within it of a step cause no moves.
-	leastBenefit = 0.1
-	// evictionTries bounds the searches for a replica to give way in one round.
-	evictionTries = 8
+	// maxTimelyUtilization is the share of a replica's request rate up to which
+	// it answers in time. Above it, queues grow and promised times are missed.
+	maxTimelyUtilization = 0.8
+	// minBenefitShare is the smallest share of a replica's request rate that a
+	// move must gain, whatever MovesWeight is. It prevents moves when a rate
+	// varies slightly around the point where one more replica is needed.
+	minBenefitShare = 0.1
+	// maxEvictionSearches bounds the unsuccessful scale-ups in one call of
+	// Plan, each of which searches all servers for a replica to evict.
+	maxEvictionSearches = 8
 )
 
-// regionFilter is a region, or empty for all.
+// regionFilter is a region; empty matches every region.
 type regionFilter ident.Region
 
-func (f regionFilter) takes(server *serverState) bool {
+func (f regionFilter) matches(server *serverState) bool {
 	return f == "" || ident.Region(f) == server.Region
 }
 
-// wish is one more replica that a region's demand asks for.
-type wish struct {
-	model   *modelState
-	region  ident.Region
-	rate    *Rate
-	have    int
-	benefit float64
+// scaleUp is one more replica that the demand of a region calls for.
+type scaleUp struct {
+	model    *modelState
+	region   ident.Region
+	rate     *Rate
+	replicas int
+	benefit  float64
 }
 
 type regionModel struct {
@@ -40,143 +42,149 @@
 	region ident.Region
 }
 
-// placeDemand spreads spare memory by demand. Regions are weighed apart, for
-// the link between them is narrow. Spare replicas stay until something else
-// pays for their room, so a fall of demand causes no moves by itself.
-func (w *work) placeDemand() {
-	wishes := w.wishes()
-	tries := evictionTries
-	for i := range wishes {
-		if w.budget.Models <= 0 || tries <= 0 {
+// placeDemand assigns spare memory by demand. Each region is planned
+// separately, because the link between regions is narrow. Spare replicas stay
+// until another model needs their memory, so falling demand alone causes no
+// moves.
+func (p *planner) placeDemand() {
+	scaleUps := p.listScaleUps()
+	searchesLeft := maxEvictionSearches
+	for i := range scaleUps {
+		if p.budget.Models <= 0 || searchesLeft <= 0 {
 			return
 		}
-		if !w.grant(&wishes[i]) {
-			tries--
+		if !p.planScaleUp(&scaleUps[i]) {
+			searchesLeft--
 		}
 	}
 }
 
-// perByte is the benefit for the memory that it takes.
-func (w *wish) perByte() float64 {
-	return w.benefit / float64(max(1, w.model.footprint))
+// benefitPerByte returns the benefit per byte of memory that the replica takes.
+func (s *scaleUp) benefitPerByte() float64 {
+	return s.benefit / float64(max(1, s.model.footprint))
 }
 
-// wishes lists what demand asks for, the greatest benefit for its memory first.
-func (w *work) wishes() []wish {
-	var wishes []wish
-	for i := range w.input.Rates {
-		rate := &w.input.Rates[i]
-		number, declared := w.byName[rate.Model]
+// listScaleUps returns the scale-ups that demand calls for, the greatest
+// benefit per byte first.
+func (p *planner) listScaleUps() []scaleUp {
+	var scaleUps []scaleUp
+	for i := range p.input.Rates {
+		rate := &p.input.Rates[i]
+		index, declared := p.modelIndex[rate.Model]
 		if !declared {
 			continue
 		}
-		model := &w.models[number]
-		have := w.presentIn(model, rate.Region)
-		benefit := w.late(rate, have) - w.late(rate, have+1)
-		if benefit < leastBenefit*w.replicaRate(rate) || w.present(model) >= model.spec.MaxReplicas {
+		model := &p.models[index]
+		current := p.countPresentIn(model, rate.Region)
+		benefit := p.lateRate(rate, current) - p.lateRate(rate, current+1)
+		if benefit < minBenefitShare*p.replicaRate(rate) || p.countPresent(model) >= model.spec.MaxReplicas {
 			continue
 		}
-		wishes = append(wishes, wish{
-			model:   model,
-			region:  rate.Region,
-			rate:    rate,
-			have:    have,
-			benefit: benefit,
+		scaleUps = append(scaleUps, scaleUp{
+			model:    model,
+			region:   rate.Region,
+			rate:     rate,
+			replicas: current,
+			benefit:  benefit,
 		})
 	}
-	slices.SortStableFunc(wishes, func(a, b wish) int {
-		return cmp.Compare(b.perByte(), a.perByte())
+	slices.SortStableFunc(scaleUps, func(a, b scaleUp) int {
+		return cmp.Compare(b.benefitPerByte(), a.benefitPerByte())
 	})
-	return wishes
+	return scaleUps
 }
 
-func (w *work) presentIn(model *modelState, region ident.Region) int {
+func (p *planner) countPresentIn(model *modelState, region ident.Region) int {
 	count := 0
 	for _, r := range model.replicas {
-		resident := w.resident(r)
-		if resident.Version == model.spec.Version && !resident.Unloading && w.servers[r.server].Region == region {
+		resident := p.resident(r)
+		if resident.Version == model.spec.Version && !resident.Unloading && p.servers[r.server].Region == region {
 			count++
 		}
 	}
 	return count
 }
 
-func (w *work) replicaRate(rate *Rate) float64 {
+func (p *planner) replicaRate(rate *Rate) float64 {
 	if rate.ReplicaPerSecond > 0 {
 		return rate.ReplicaPerSecond
 	}
-	return w.settings.ReplicaPerSecond
+	return p.settings.ReplicaPerSecond
 }
 
-// late is the rate of requests that replicas in the region cannot serve in time.
-func (w *work) late(rate *Rate, replicas int) float64 {
-	return max(0, rate.PerSecond-usefulShare*w.replicaRate(rate)*float64(replicas))
+// lateRate returns the rate of requests that the given number of replicas in
+// the region can't serve in time.
+func (p *planner) lateRate(rate *Rate, replicas int) float64 {
+	return max(0, rate.PerSecond-maxTimelyUtilization*p.replicaRate(rate)*float64(replicas))
 }
 
-// grant books the load that a wish asks for, or the unload that makes room for
-// it, if it pays. It tells whether there was something to do.
-func (w *work) grant(asked *wish) bool {
+// planScaleUp plans the load for a scale-up, or the unload that makes room for
+// it, if the benefit exceeds the cost. It returns false if no server has room,
+// no pending unload will free it, and no eviction is worth its cost.
+func (p *planner) planScaleUp(wanted *scaleUp) bool {
 	move := Move{
 		Reason:  ReasonDemand,
-		For:     asked.model.spec.Name,
-		Have:    asked.have,
-		Want:    asked.have + 1,
-		Benefit: w.gain(asked.rate, asked.benefit),
-		Cost:    w.price(1),
+		For:     wanted.model.spec.Name,
+		Have:    wanted.replicas,
+		Want:    wanted.replicas + 1,
+		Benefit: p.relativeBenefit(wanted.rate, wanted.benefit),
+		Cost:    p.requiredBenefit(1),
 	}
-	if server, found := w.bestServer(asked.model, regionFilter(asked.region)); found {
+	if server, found := p.findServer(wanted.model, regionFilter(wanted.region)); found {
 		if move.Benefit > move.Cost {
-			w.load(asked.model, server, move)
+			p.planLoad(wanted.model, server, move)
 		}
 		return true
 	}
-	if w.roomComes(asked) {
+	if p.waitForUnloadInRegion(wanted) {
 		return true
 	}
-	return w.evictForDemand(asked, move)
+	return p.evictForDemand(wanted, move)
 }
 
-// gain is a benefit as a share of what one replica serves in time over the
-// horizon; nothing is served while the weights load.
-func (w *work) gain(rate *Rate, benefit float64) float64 {
-	lasting := 1 - w.settings.LoadTime.Seconds()/w.settings.Horizon.Seconds()
-	return benefit / (usefulShare * w.replicaRate(rate)) * lasting
+// relativeBenefit converts a benefit to a share of the requests that one
+// replica serves in time over Settings.Horizon. Nothing is served while the
+// weights load.
+func (p *planner) relativeBenefit(rate *Rate, benefit float64) float64 {
+	lasting := 1 - p.settings.LoadTime.Seconds()/p.settings.Horizon.Seconds()
+	return benefit / (maxTimelyUtilization * p.replicaRate(rate)) * lasting
 }
 
-// price is the gain that moves must exceed. One move must bring MovesWeight of a
-// replica; of more, each must bring it out of what the others leave. At weight 1
-// no move pays, for no gain is above one replica.
-func (w *work) price(moves int) float64 {
-	return 1 - math.Pow(1-w.settings.MovesWeight, float64(moves))
+// requiredBenefit returns the relative benefit that the given number of moves
+// must exceed. One move must gain the share MovesWeight of a replica's work;
+// each further move must gain the same share of the remainder. At weight 1 no
+// move is made, since no relative benefit exceeds one replica.
+func (p *planner) requiredBenefit(moves int) float64 {
+	return 1 - math.Pow(1-p.settings.MovesWeight, float64(moves))
 }
 
-// roomComes tells whether an unload under way makes room for the wish, and
-// keeps that room for it.
-func (w *work) roomComes(asked *wish) bool {
-	for i := range w.servers {
-		server := &w.servers[i]
-		if !server.Usable || server.Region != asked.region || w.holds(server, asked.model) {
+// waitForUnloadInRegion reports whether an unload in progress in the region
+// makes room for the scale-up, and reserves that memory for it.
+func (p *planner) waitForUnloadInRegion(wanted *scaleUp) bool {
+	for i := range p.servers {
+		server := &p.servers[i]
+		if !server.Usable || server.Region != wanted.region || p.hasDeclaredVersion(server, wanted.model) {
 			continue
 		}
-		if server.coming > server.free && server.coming >= asked.model.footprint {
-			server.coming -= asked.model.footprint
+		if server.freeAfterUnloads > server.free && server.freeAfterUnloads >= wanted.model.footprint {
+			server.freeAfterUnloads -= wanted.model.footprint
 			return true
 		}
 	}
 	return false
 }
 
-// evictForDemand drops the spare replica in the region that is missed least, if
-// the gain less that loss pays for both moves.
-func (w *work) evictForDemand(asked *wish, move Move) bool {
-	rates := w.ratesByModel()
-	least := leastBenefit * w.replicaRate(asked.rate)
-	bestLoss := asked.benefit - least
+// evictForDemand unloads the spare replica in the region whose loss makes the
+// fewest requests late, if the benefit less that loss justifies both moves.
+func (p *planner) evictForDemand(wanted *scaleUp, move Move) bool {
+	rates := p.ratesByModel()
+	minBenefit := minBenefitShare * p.replicaRate(wanted.rate)
+	bestLoss := wanted.benefit - minBenefit
 	var victim replica
 	found := false
-	for i := range w.servers {
-		server := &w.servers[i]
-		if !server.Usable || server.Region != asked.region || w.holds(server, asked.model) {
+	for i := range p.servers {
+		server := &p.servers[i]
+		if !server.Usable || server.Region != wanted.region || p.hasDeclaredVersion(server, wanted.model) {
 			continue
 		}
 		for j := range server.Residents {
@@ -184,28 +192,28 @@
 				server:   i,
 				resident: j,
 			}
-			loss, may := w.lossOf(candidate, asked.model, rates)
-			if may && loss < bestLoss {
+			loss, canEvict := p.evictionLoss(candidate, wanted.model, rates)
+			if canEvict && loss < bestLoss {
 				bestLoss = loss
 				victim = candidate
 				found = true
 			}
 		}
 	}
-	move.Benefit = w.gain(asked.rate, asked.benefit-bestLoss)
-	move.Cost = w.price(2)
+	move.Benefit = p.relativeBenefit(wanted.rate, wanted.benefit-bestLoss)
+	move.Cost = p.requiredBenefit(2)
 	if !found || move.Benefit <= move.Cost {
 		return false
 	}
-	w.dropReplica(victim, move)
-	w.servers[victim.server].coming -= asked.model.footprint
+	p.planReplicaUnload(victim, move)
+	p.servers[victim.server].freeAfterUnloads -= wanted.model.footprint
 	return true
 }
 
-func (w *work) ratesByModel() map[regionModel]*Rate {
-	rates := make(map[regionModel]*Rate, len(w.input.Rates))
-	for i := range w.input.Rates {
-		rate := &w.input.Rates[i]
+func (p *planner) ratesByModel() map[regionModel]*Rate {
+	rates := make(map[regionModel]*Rate, len(p.input.Rates))
+	for i := range p.input.Rates {
+		rate := &p.input.Rates[i]
 		rates[regionModel{
 			model:  rate.Model,
 			region: rate.Region,
@@ -214,22 +222,23 @@
 	return rates
 }
 
-// lossOf is the rate of requests that would be late without a replica, and
-// whether it may go: spare, not the last in its region, of a model that did not
-// grow lately, and big enough.
-func (w *work) lossOf(candidate replica, model *modelState, rates map[regionModel]*Rate) (float64, bool) {
-	resident := w.resident(candidate)
-	number, declared := w.byName[resident.Model]
+// evictionLoss returns the rate of requests that would be late without a
+// replica, and whether it may be evicted: it must be spare, not the last one in
+// its region, of a model that gained no replica recently, and large enough to
+// make room.
+func (p *planner) evictionLoss(candidate replica, model *modelState, rates map[regionModel]*Rate) (float64, bool) {
+	resident := p.resident(candidate)
+	index, declared := p.modelIndex[resident.Model]
 	if !declared || resident.Adapter != "" || resident.Model == model.spec.Name {
 		return 0, false
 	}
-	server := &w.servers[candidate.server]
-	if w.grewLately(&w.models[number]) || server.coming+w.released(candidate) < model.footprint {
+	server := &p.servers[candidate.server]
+	if p.grewRecently(&p.models[index]) || server.freeAfterUnloads+p.releasedMemory(candidate) < model.footprint {
 		return 0, false
 	}
-	owner := &w.models[number]
-	have := w.presentIn(owner, server.Region)
-	if have < 2 || !w.spare(owner, candidate) {
+	owner := &p.models[index]
+	current := p.countPresentIn(owner, server.Region)
+	if current < 2 || !p.isSpare(owner, candidate) {
 		return 0, false
 	}
 	rate := rates[regionModel{
@@ -239,15 +248,16 @@
 	if rate == nil {
 		return 0, true
 	}
-	return w.late(rate, have-1) - w.late(rate, have), true
+	return p.lateRate(rate, current-1) - p.lateRate(rate, current), true
 }
 
-// grewLately tells whether a replica of the model is new. Then none of them
-// gives way: had only the new one to stay, an old one would go in its place, and
-// two models with swinging demand would push each other out at every swing.
-func (w *work) grewLately(model *modelState) bool {
+// grewRecently reports whether the model gained a replica within
+// Settings.MinStay. All its replicas are then protected from eviction: if only
+// the new one were, an old one would be evicted instead, and two models with
+// alternating demand would evict each other at every change.
+func (p *planner) grewRecently(model *modelState) bool {
 	for _, r := range model.replicas {
-		if w.input.Now.Sub(w.resident(r).Since) < w.settings.MinStay {
+		if p.input.Now.Sub(p.resident(r).Since) < p.settings.MinStay {
 			return true
 		}
 	}
--- a/internal/control/placement/placement.go
+++ b/internal/control/placement/placement.go
@@ -1,22 +1,24 @@
-// Package placement decides which weights should be on which backend server.
+// Package placement decides which weights are loaded on which backend server.
 //
-// It is a pure function: Plan takes what is known of servers, documents and
-// demand and returns the next moves, each with its reason. It keeps nothing
-// between calls, so that a new leader plans as the old one did. Package orders
-// feeds it and makes the moves safely.
+// Plan is a pure function: it takes the known state of servers, documents and
+// demand and returns the next moves, each with its reason. The package keeps no
+// state between calls, so a new leader plans as the previous one did. Package
+// orders calls Plan and executes the moves. Plan starts no goroutine and takes
+// no lock; the caller must not use the input's servers while it runs.
 //
-// Plan works in this order, the most needed first:
+// Plan works in this order, the most urgent first:
 //
-//  1. every declared model gets its least number of replicas of the declared
-//     version, on distinct servers, spread over regions and data centres; where
-//     there is no room, it is made (required.go, room.go);
-//  2. what nobody declares any more goes (retire.go);
-//  3. adapters follow the replicas of their base model (adapters.go);
-//  4. memory to spare goes to the models whose demand pays for the move
+//  1. Every declared model gets its minimum number of replicas of the declared
+//     version, on distinct servers, spread over regions and data centres. Where
+//     memory is missing, Plan frees it (required.go, room.go).
+//  2. Weights that are no longer declared are unloaded (retire.go).
+//  3. Adapters are loaded on the servers of their base model (adapters.go).
+//  4. Spare memory goes to the models whose demand justifies the move
 //     (demand.go).
 //
-// A replica is dropped only while another one of the same model is ready by a
-// fresh report, be it of the old or the new version.
+// A replica is unloaded only while another one of the same model is ready
+// according to a fresh report, whether of the old or the new version.
+// Undeclared models are exempt from this.
 //
 // # Usage
 //
@@ -52,31 +54,32 @@
 	Version ident.Version
 }
 
-// Resident is a set of weights that is on a server, or may yet come there.
+// Resident is a set of weights that is on a server, or that a pending load may
+// still put there.
 type Resident struct {
 	Weights
 	Memory unit.Bytes
-	// Ready tells that a fresh report shows the weights serving.
+	// Ready reports whether a fresh report shows the weights as serving.
 	Ready bool
-	// Loading tells that a load has not settled.
+	// Loading reports whether a load is pending, so its outcome is unknown.
 	Loading bool
-	// Unloading tells that an unload has not settled: the weights may go at
-	// any instant, so nothing may rely on them.
+	// Unloading reports whether an unload is pending. The weights may disappear
+	// at any moment, so nothing may rely on them.
 	Unloading bool
-	// Since is when the leader first saw the weights here.
+	// Since is when the leader first saw the weights on this server.
 	Since time.Time
 }
 
-// Server is a backend server whose residents count.
+// Server is a backend server and what is loaded on it.
 type Server struct {
 	Name       ident.ServerName
 	DataCentre ident.DataCentre
 	Region     ident.Region
-	// Usable tells that the server may get orders now.
+	// Usable reports whether the server accepts orders now.
 	Usable bool
 	Memory unit.Bytes
-	// Reserved is the memory of all residents and of all loads that could
-	// still take effect.
+	// Reserved is the memory of all residents and of all loads that may still
+	// take effect.
 	Reserved  unit.Bytes
 	Residents []Resident
 }
@@ -85,25 +88,31 @@
 type Rate struct {
 	Model  ident.ModelName
 	Region ident.Region
-	// PerSecond is the number of requests a second.
+	// PerSecond is the demand in requests a second.
 	PerSecond float64
-	// ReplicaPerSecond is how many requests a second one replica serves within
-	// the promised time; zero takes Settings.ReplicaPerSecond.
+	// ReplicaPerSecond is the number of requests a second that one replica
+	// serves within the promised time; zero means Settings.ReplicaPerSecond.
 	ReplicaPerSecond float64
 }
 
-// Settings weigh moves against attainment. Zero fields take the defaults.
+// Settings control how moves are weighed against attainment, the share of
+// requests that are answered within the promised time. Zero fields get their
+// defaults.
 type Settings struct {
-	// MovesWeight is 0 where only attainment counts and 1 where only moves do:
-	// the part of a replica's work that a move for demand must bring.
+	// MovesWeight, from 0 to 1, is the share of a replica's work that a move
+	// for demand must gain: at 0 only attainment counts, at 1 no move for
+	// demand is made.
 	MovesWeight float64
-	// ReplicaPerSecond is the request rate of one replica where none is measured.
+	// ReplicaPerSecond is the request rate that one replica serves in time,
+	// used where none has been measured.
 	ReplicaPerSecond float64
 	// Horizon is how long a change of demand is expected to last.
 	Horizon time.Duration
-	// LoadTime is how long a load takes: a new replica earns nothing until then.
+	// LoadTime is how long a load takes; a new replica serves nothing until
+	// then.
 	LoadTime time.Duration
-	// MinStay is how long a model that got a replica keeps all it has.
+	// MinStay is how long all replicas of a model are protected from eviction
+	// after the model gained one.
 	MinStay time.Duration
 }
 
@@ -123,13 +132,14 @@
 	return s
 }
 
-// Budget is how many loads may start now.
+// Budget is the number of loads that may start now.
 type Budget struct {
 	Models   int
 	Adapters int
 }
 
-// Input is all that Plan looks at. Plan takes the servers over and changes them.
+// Input is all that Plan depends on. Plan takes ownership of Servers and
+// modifies them.
 type Input struct {
 	Now      time.Time
 	Settings Settings
@@ -161,32 +171,35 @@
 	Weights Weights
 	Memory  unit.Bytes
 	Reason  Reason
-	// For is the model that gains where it is not the one moved.
+	// For is the model for which another model's weights are moved; empty where
+	// the move is for the moved model itself.
 	For ident.ModelName
-	// Have and Want are replicas of the model that gains, before the move.
+	// Have and Want count the present and the wanted replicas of the model that
+	// the move is for, before the move.
 	Have int
 	Want int
-	// Benefit and Cost are what was weighed, in shares of one replica's work over
-	// Settings.Horizon; both are zero for moves that are made whatever they cost.
+	// Benefit and Cost are the weighed amounts, in shares of one replica's work
+	// over Settings.Horizon. Both are zero for moves that are made at any cost.
 	Benefit float64
 	Cost    float64
 }
 
-// Blocker says why something declared is not in place.
+// Blocker says why declared weights can't be loaded.
 type Blocker string
 
-// The blockers.
+// The reasons for blocked weights.
 const (
-	// BlockedNoRoom: no server has the memory, and nothing spare can go.
+	// BlockedNoRoom means that no server has enough memory and no spare replica
+	// can be evicted.
 	BlockedNoRoom Blocker = "NoRoom"
-	// BlockedLastReplica: the old version is the last ready replica and there
-	// is no room for the new one beside it.
+	// BlockedLastReplica means that the old version is the last ready replica
+	// and there is no memory for the new version beside it.
 	BlockedLastReplica Blocker = "LastReplica"
-	// BlockedNoServer: too few servers take orders.
+	// BlockedNoServer means that too few servers accept orders.
 	BlockedNoServer Blocker = "NoServer"
 )
 
-// Blocked is a declared model or adapter that cannot be put in place now.
+// Blocked is a declared model or adapter that can't be loaded now.
 type Blocked struct {
 	Weights Weights
 	Why     Blocker
@@ -195,7 +208,7 @@
 	Needs   unit.Bytes
 }
 
-// Result is what Plan found.
+// Result is the outcome of Plan.
 type Result struct {
 	Moves   []Move
 	Blocked []Blocked
@@ -204,15 +217,15 @@
 // Plan returns the next moves. It is deterministic: the order of Models,
 // Servers and Rates breaks ties, so callers sort them.
 func Plan(input *Input) Result {
-	work := newWork(input)
-	work.placeRequired()
-	work.retire()
-	work.placeAdapters()
-	work.placeDemand()
-	return work.result
+	p := newPlanner(input)
+	p.placeRequired()
+	p.retire()
+	p.placeAdapters()
+	p.placeDemand()
+	return p.result
 }
 
-// Footprint is the memory that one replica needs with all its adapters.
+// Footprint returns the memory that one replica needs with all its adapters.
 func Footprint(model *document.Model) unit.Bytes {
 	total := model.Memory
 	for i := range model.Adapters {
--- a/internal/control/placement/placement_test.go
+++ b/internal/control/placement/placement_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is a model of servers that carry out each move at once.
+// fleet simulates servers that execute each move at once.
 type fleet struct {
 	now     time.Time
 	servers []Server
@@ -25,13 +25,13 @@
 	blocked []Blocked
 }
 
-func newFleet(servers int, memory unit.Bytes, models ...document.Model) *fleet {
+func newFleet(count int, memory unit.Bytes, models ...document.Model) *fleet {
 	f := &fleet{
 		now:    epoch,
 		models: models,
 		moves:  make(map[Reason]int),
 	}
-	for i := range servers {
+	for i := range count {
 		f.servers = append(f.servers, Server{
 			Name:       ident.ServerName(fmt.Sprintf("gpu-%04d", i)),
 			DataCentre: ident.DataCentre(fmt.Sprintf("dc-%d", i%7)),
@@ -43,7 +43,7 @@
 	return f
 }
 
-func (f *fleet) input(settings Settings, budget Budget) *Input {
+func (f *fleet) newInput(settings Settings, budget Budget) *Input {
 	input := &Input{
 		Now:      f.now,
 		Settings: settings,
@@ -58,18 +58,18 @@
 	return input
 }
 
-// round plans once and carries everything out.
-func (f *fleet) round(settings Settings, budget Budget) int {
-	result := Plan(f.input(settings, budget))
+// planAndApply calls Plan once, executes all moves and returns their number.
+func (f *fleet) planAndApply(settings Settings, budget Budget) int {
+	result := Plan(f.newInput(settings, budget))
 	for _, move := range result.Moves {
-		f.carryOut(&move)
+		f.applyMove(&move)
 	}
 	f.blocked = result.Blocked
 	f.now = f.now.Add(10 * time.Second)
 	return len(result.Moves)
 }
 
-func (f *fleet) carryOut(move *Move) {
+func (f *fleet) applyMove(move *Move) {
 	f.moves[move.Reason]++
 	for i := range f.servers {
 		server := &f.servers[i]
@@ -96,93 +96,93 @@
 	}
 }
 
-var plenty = Budget{
+var unlimited = Budget{
 	Models:   10000,
 	Adapters: 100000,
 }
 
-// until rounds bring no more moves.
-func (f *fleet) rest(t testing.TB, settings Settings) {
+// planUntilStable plans and executes moves until there are none left.
+func (f *fleet) planUntilStable(t testing.TB, settings Settings) {
 	for range 60 {
-		if f.round(settings, plenty) == 0 {
+		if f.planAndApply(settings, unlimited) == 0 {
 			return
 		}
 	}
 	require.Fail(t, "moves never end")
 }
 
-func (f *fleet) at(model ident.ModelName, version ident.Version) []Server {
-	var holders []Server
+func (f *fleet) serversWith(model ident.ModelName, version ident.Version) []Server {
+	var servers []Server
 	for _, server := range f.servers {
 		for _, resident := range server.Residents {
 			if resident.Model == model && resident.Adapter == "" && resident.Version == version {
-				holders = append(holders, server)
+				servers = append(servers, server)
 			}
 		}
 	}
-	return holders
+	return servers
 }
 
-func model(name string, version ident.Version, memory unit.Bytes, replicas, most int, adapters ...document.Adapter) document.Model {
+func newModel(name string, version ident.Version, memory unit.Bytes, replicas, maxReplicas int, adapters ...document.Adapter) document.Model {
 	return document.Model{
 		Name:        ident.ModelName(name),
 		Version:     version,
 		Memory:      memory,
 		Replicas:    replicas,
-		MaxReplicas: most,
+		MaxReplicas: maxReplicas,
 		Adapters:    adapters,
 	}
 }
 
 func TestReplicasSpreadOverRegionsAndDataCentres(t *testing.T) {
-	f := newFleet(14, 100, model("briefing", "1", 40, 4, 4))
-	f.rest(t, Settings{})
-	holders := f.at("briefing", "1")
-	require.Len(t, holders, 4)
+	f := newFleet(14, 100, newModel("briefing", "1", 40, 4, 4))
+	f.planUntilStable(t, Settings{})
+	servers := f.serversWith("briefing", "1")
+	require.Len(t, servers, 4)
 	regions := map[ident.Region]int{}
-	centres := map[ident.DataCentre]int{}
-	for _, server := range holders {
+	dataCentres := map[ident.DataCentre]int{}
+	for _, server := range servers {
 		regions[server.Region]++
-		centres[server.DataCentre]++
+		dataCentres[server.DataCentre]++
 	}
 	require.Equal(t, map[ident.Region]int{
 		"a": 2,
 		"b": 2,
 	}, regions)
-	require.Len(t, centres, 4)
+	require.Len(t, dataCentres, 4)
 }
 
 func TestAdaptersFollowEveryReplica(t *testing.T) {
-	f := newFleet(3, 50, model("briefing", "1", 40, 2, 2, document.Adapter{
+	f := newFleet(3, 50, newModel("briefing", "1", 40, 2, 2, document.Adapter{
 		Name:    "breton",
 		Version: "1",
 		Memory:  5,
 	}))
-	f.rest(t, Settings{})
-	for _, server := range f.at("briefing", "1") {
+	f.planUntilStable(t, Settings{})
+	for _, server := range f.serversWith("briefing", "1") {
 		require.Len(t, server.Residents, 2)
 	}
 	require.Equal(t, 2, f.moves[ReasonAdapter])
 }
 
-// The only replica of a model fills its server and the new version fits nowhere
-// beside it. Dropping it would leave callers without the model for the time of
-// a load; so the change is refused until there is room.
-func TestLastReplicaWithoutRoomIsBlocked(t *testing.T) {
-	f := newFleet(1, 50, model("briefing", "1", 40, 1, 1))
-	f.rest(t, Settings{})
+// The only replica of a model fills its server and the new version fits
+// nowhere. Unloading it would leave callers without the model for the duration
+// of a load, so the version change is blocked until there is memory.
+func TestLastReplicaIsNotDroppedForNewVersion(t *testing.T) {
+	f := newFleet(1, 50, newModel("briefing", "1", 40, 1, 1))
+	f.planUntilStable(t, Settings{})
 	f.models[0].Version = "2"
-	f.rest(t, Settings{})
-	require.Len(t, f.at("briefing", "1"), 1)
+	f.planUntilStable(t, Settings{})
+	require.Len(t, f.serversWith("briefing", "1"), 1)
 	require.Len(t, f.blocked, 1)
 	require.Equal(t, BlockedLastReplica, f.blocked[0].Why)
 }
 
 // The new version of a single replica fits nowhere, but another model has more
-// replicas than it must: one of these gives way, and the change goes through.
-func TestSpareReplicaGivesWayToNewVersion(t *testing.T) {
-	f := newFleet(2, 50, model("briefing", "1", 40, 1, 1), model("extra", "1", 40, 1, 2))
-	f.rest(t, Settings{})
+// replicas than its minimum. One of these is evicted and the version changes.
+func TestSpareReplicaIsEvictedForNewVersion(t *testing.T) {
+	f := newFleet(2, 50, newModel("briefing", "1", 40, 1, 1), newModel("extra", "1", 40, 1, 2))
+	f.planUntilStable(t, Settings{})
 	f.models[1].Replicas = 1
 	f.servers = append(f.servers, Server{
 		Name:   "gpu-9000",
@@ -200,50 +200,50 @@
 		Reserved: 40,
 	})
 	f.models[0].Version = "2"
-	f.rest(t, Settings{})
+	f.planUntilStable(t, Settings{})
 	require.Empty(t, f.blocked)
-	require.Len(t, f.at("briefing", "2"), 1)
-	require.Empty(t, f.at("briefing", "1"))
-	require.Len(t, f.at("extra", "1"), 1)
+	require.Len(t, f.serversWith("briefing", "2"), 1)
+	require.Empty(t, f.serversWith("briefing", "1"))
+	require.Len(t, f.serversWith("extra", "1"), 1)
 	require.Equal(t, 1, f.moves[ReasonRoom])
 }
 
-// Two small models share out the free memory of two servers so that a large
-// one fits nowhere. Moving one of them beside the other makes room.
+// Two small models occupy one server each, so that a large model fits on
+// neither. Copying one of them to the other server makes room.
 func TestRelocationMakesRoom(t *testing.T) {
-	f := newFleet(2, 50, model("small-1", "1", 20, 1, 1), model("small-2", "1", 20, 1, 1))
-	f.rest(t, Settings{})
-	require.NotEqual(t, f.at("small-1", "1"), f.at("small-2", "1"))
-	f.models = append(f.models, model("wide", "1", 50, 1, 1))
-	f.rest(t, Settings{})
+	f := newFleet(2, 50, newModel("small-1", "1", 20, 1, 1), newModel("small-2", "1", 20, 1, 1))
+	f.planUntilStable(t, Settings{})
+	require.NotEqual(t, f.serversWith("small-1", "1"), f.serversWith("small-2", "1"))
+	f.models = append(f.models, newModel("wide", "1", 50, 1, 1))
+	f.planUntilStable(t, Settings{})
 	require.Empty(t, f.blocked)
-	require.Len(t, f.at("wide", "1"), 1)
-	require.Len(t, f.at("small-1", "1"), 1)
-	require.Len(t, f.at("small-2", "1"), 1)
+	require.Len(t, f.serversWith("wide", "1"), 1)
+	require.Len(t, f.serversWith("small-1", "1"), 1)
+	require.Len(t, f.serversWith("small-2", "1"), 1)
 }
 
-// Demand rises and spare memory is there: replicas are added up to the
-// greatest number, and none goes when demand falls again.
-func TestDemandTakesSpareMemoryAndKeepsIt(t *testing.T) {
-	f := newFleet(14, 50, model("briefing", "1", 40, 2, 6))
-	f.rest(t, Settings{})
+// When demand rises and memory is spare, replicas are added up to the maximum;
+// none is unloaded when demand falls again.
+func TestDemandReplicasStayAfterDemandFalls(t *testing.T) {
+	f := newFleet(14, 50, newModel("briefing", "1", 40, 2, 6))
+	f.planUntilStable(t, Settings{})
 	f.rates = []Rate{{
 		Model:     "briefing",
 		Region:    "a",
 		PerSecond: 100,
 	}}
-	f.rest(t, Settings{})
-	require.Len(t, f.at("briefing", "1"), 6)
+	f.planUntilStable(t, Settings{})
+	require.Len(t, f.serversWith("briefing", "1"), 6)
 	require.Equal(t, 4, f.moves[ReasonDemand])
 	f.rates = nil
-	f.rest(t, Settings{})
-	require.Len(t, f.at("briefing", "1"), 6)
+	f.planUntilStable(t, Settings{})
+	require.Len(t, f.serversWith("briefing", "1"), 6)
 }
 
-// Two models take turns at the one spare place. Rates that swing around a step
-// must not move anything, and strong swings no more than MinStay lets.
-func TestSwingingDemandMakesNoChurn(t *testing.T) {
-	for _, swing := range []struct {
+// Two models alternately need the one spare server. Small variations of the
+// rates must not cause moves, and large ones no more than MinStay permits.
+func TestAlternatingDemandLimitsMoves(t *testing.T) {
+	for _, test := range []struct {
 		high, low float64
 		most      int
 	}{
@@ -258,11 +258,11 @@
 			most: 1 + 2*1000/120,
 		},
 	} {
-		f := newFleet(3, 50, model("a", "1", 40, 1, 2), model("b", "1", 40, 1, 2))
+		f := newFleet(3, 50, newModel("a", "1", 40, 1, 2), newModel("b", "1", 40, 1, 2))
 		f.servers[1].Region = "a"
-		f.rest(t, Settings{})
+		f.planUntilStable(t, Settings{})
 		for i := range 100 {
-			rates := [2]float64{swing.high, swing.low}
+			rates := [2]float64{test.high, test.low}
 			f.rates = []Rate{
 				{
 					Model:     "a",
@@ -275,17 +275,17 @@
 					PerSecond: rates[1-i%2],
 				},
 			}
-			f.round(Settings{}, plenty)
+			f.planAndApply(Settings{}, unlimited)
 		}
-		require.LessOrEqual(t, f.moves[ReasonDemand], swing.most)
+		require.LessOrEqual(t, f.moves[ReasonDemand], test.most)
 	}
 }
 
-// An unload is on its way to one of two replicas. It must not count as ready:
-// the other one would be evicted as spare and nothing be left.
-func TestReplicaOnItsWayOutVouchesForNothing(t *testing.T) {
-	f := newFleet(2, 50, model("a", "1", 40, 1, 2))
-	f.models = append(f.models, model("wide", "1", 50, 1, 1))
+// One of two replicas has a pending unload. If it counted as ready, the other
+// one would be evicted as spare and no replica would remain.
+func TestUnloadingReplicaDoesNotCountAsReady(t *testing.T) {
+	f := newFleet(2, 50, newModel("a", "1", 40, 1, 2))
+	f.models = append(f.models, newModel("wide", "1", 50, 1, 1))
 	for i := range f.servers {
 		f.servers[i].Reserved = 40
 		f.servers[i].Residents = []Resident{{
@@ -299,24 +299,24 @@
 		}}
 	}
 	f.servers[0].Usable = false
-	require.Empty(t, Plan(f.input(Settings{}, plenty)).Moves)
+	require.Empty(t, Plan(f.newInput(Settings{}, unlimited)).Moves)
 }
 
-// Loads are paced, so a model's adapters come after it. Another model must not
-// take the memory that they need.
-func TestRoomIsKeptForAdapters(t *testing.T) {
-	f := newFleet(1, 60, model("a", "1", 40, 1, 1, document.Adapter{
+// Loads are rate-limited, so a model's adapters are loaded after it. Another
+// model must not take the memory that they need.
+func TestMemoryIsReservedForAdapters(t *testing.T) {
+	f := newFleet(1, 60, newModel("a", "1", 40, 1, 1, document.Adapter{
 		Name:    "breton",
 		Version: "1",
 		Memory:  20,
-	}), model("b", "1", 20, 1, 1))
+	}), newModel("b", "1", 20, 1, 1))
 	for range 4 {
-		f.round(Settings{}, Budget{
+		f.planAndApply(Settings{}, Budget{
 			Models:   1,
 			Adapters: 0,
 		})
 	}
-	f.rest(t, Settings{})
+	f.planUntilStable(t, Settings{})
 	require.Equal(t, 1, f.moves[ReasonAdapter])
-	require.Empty(t, f.at("b", "1"))
+	require.Empty(t, f.serversWith("b", "1"))
 }
--- a/internal/control/placement/required.go
+++ b/internal/control/placement/required.go
@@ -5,87 +5,91 @@
 	"slices"
 )
 
-// placeRequired brings every declared model to its least number of replicas.
-// Models with large footprints come first: they fit in fewest places.
-func (w *work) placeRequired() {
-	order := w.missingModels()
+// placeRequired brings every declared model to its minimum number of replicas.
+// Among models with the same urgency, the largest come first, since the fewest
+// servers can take them.
+func (p *planner) placeRequired() {
+	order := p.listMissingModels()
 	for _, index := range order {
-		model := &w.models[index]
-		for have := w.present(model); have < model.least(); have++ {
-			if !w.placeOne(model, have) {
+		model := &p.models[index]
+		for current := p.countPresent(model); current < model.minReplicas(); current++ {
+			if !p.placeReplica(model, current) {
 				break
 			}
 		}
 	}
 }
 
-func (w *work) missingModels() []int {
+func (p *planner) listMissingModels() []int {
 	var missing []int
-	for i := range w.models {
-		if w.present(&w.models[i]) < w.models[i].least() {
+	for i := range p.models {
+		if p.countPresent(&p.models[i]) < p.models[i].minReplicas() {
 			missing = append(missing, i)
 		}
 	}
 	slices.SortStableFunc(missing, func(a, b int) int {
-		// A model that nobody can reach comes before any other.
-		left := min(w.present(&w.models[a]), 1)
-		right := min(w.present(&w.models[b]), 1)
+		// A model without any replica comes first.
+		reachableA := min(p.countPresent(&p.models[a]), 1)
+		reachableB := min(p.countPresent(&p.models[b]), 1)
 		return cmp.Or(
-			cmp.Compare(left, right),
-			cmp.Compare(w.models[b].footprint, w.models[a].footprint),
+			cmp.Compare(reachableA, reachableB),
+			cmp.Compare(p.models[b].footprint, p.models[a].footprint),
 		)
 	})
 	return missing
 }
 
-// placeOne books one replica, or makes room for it, and tells whether it was
-// booked: if not, this round has nothing more to do for the model.
-func (w *work) placeOne(model *modelState, have int) bool {
+// placeReplica plans one replica or makes room for it, and reports whether the
+// replica was planned. If not, nothing more can be done for the model in this
+// call of Plan.
+func (p *planner) placeReplica(model *modelState, current int) bool {
 	move := Move{
 		Reason: ReasonMissing,
-		Have:   have,
-		Want:   model.least(),
+		Have:   current,
+		Want:   model.minReplicas(),
 	}
-	if w.hasOtherVersion(model) {
+	if p.hasOtherVersion(model) {
 		move.Reason = ReasonVersion
 	}
-	if server, found := w.bestServer(model, ""); found {
-		if w.budget.Models <= 0 {
-			// Kept for the model, so that demand does not take the room.
-			w.servers[server].free -= model.footprint
-			w.servers[server].coming -= model.footprint
+	if server, found := p.findServer(model, ""); found {
+		if p.budget.Models <= 0 {
+			// Reserve the memory, so that placeDemand does not use it for
+			// another model.
+			p.servers[server].free -= model.footprint
+			p.servers[server].freeAfterUnloads -= model.footprint
 			return false
 		}
-		w.load(model, server, move)
+		p.planLoad(model, server, move)
 		return true
 	}
-	w.makeRoom(model, move)
+	p.makeRoom(model, move)
 	return false
 }
 
-func (w *work) hasOtherVersion(model *modelState) bool {
+func (p *planner) hasOtherVersion(model *modelState) bool {
 	for _, r := range model.replicas {
-		if w.resident(r).Version != model.spec.Version {
+		if p.resident(r).Version != model.spec.Version {
 			return true
 		}
 	}
 	return false
 }
 
-// spread counts replicas that the next one should keep away from.
-type spread struct {
+// placementSpread counts the model's replicas in a server's region and data
+// centre; the next replica goes where there are fewest.
+type placementSpread struct {
 	region     int
 	dataCentre int
 }
 
-func (w *work) spreadAt(model *modelState, candidate *serverState) spread {
-	var count spread
+func (p *planner) countSpread(model *modelState, candidate *serverState) placementSpread {
+	var count placementSpread
 	for _, r := range model.replicas {
-		resident := w.resident(r)
+		resident := p.resident(r)
 		if resident.Unloading || resident.Version != model.spec.Version {
 			continue
 		}
-		other := &w.servers[r.server]
+		other := &p.servers[r.server]
 		if other.Region == candidate.Region {
 			count.region++
 		}
@@ -96,58 +100,58 @@
 	return count
 }
 
-// bestServer finds the server for one more replica: in the region and data
-// centre with fewest, then the one with most free memory. An empty region takes
-// all.
-func (w *work) bestServer(model *modelState, region regionFilter) (int, bool) {
+// findServer returns the server for one more replica: in the region, then the
+// data centre, with the fewest replicas of the model, then with the most free
+// memory.
+func (p *planner) findServer(model *modelState, region regionFilter) (int, bool) {
 	best := -1
-	var bestSpread spread
-	for i := range w.servers {
-		server := &w.servers[i]
-		if !server.Usable || server.free < model.footprint || !region.takes(server) {
+	var bestSpread placementSpread
+	for i := range p.servers {
+		server := &p.servers[i]
+		if !server.Usable || server.free < model.footprint || !region.matches(server) {
 			continue
 		}
-		if w.holds(server, model) {
+		if p.hasDeclaredVersion(server, model) {
 			continue
 		}
-		here := w.spreadAt(model, server)
-		if best < 0 || better(here, bestSpread, server, &w.servers[best]) {
+		candidateSpread := p.countSpread(model, server)
+		if best < 0 || isBetter(candidateSpread, bestSpread, server, &p.servers[best]) {
 			best = i
-			bestSpread = here
+			bestSpread = candidateSpread
 		}
 	}
 	return best, best >= 0
 }
 
-func better(here, best spread, server, other *serverState) bool {
+func isBetter(candidateSpread, bestSpread placementSpread, candidate, bestServer *serverState) bool {
 	return cmp.Or(
-		cmp.Compare(here.region, best.region),
-		cmp.Compare(here.dataCentre, best.dataCentre),
-		cmp.Compare(other.free, server.free),
+		cmp.Compare(candidateSpread.region, bestSpread.region),
+		cmp.Compare(candidateSpread.dataCentre, bestSpread.dataCentre),
+		cmp.Compare(bestServer.free, candidate.free),
 	) < 0
 }
 
-// holds tells whether the declared version is on a server in any state: two
-// replicas go to distinct servers, and weights with an order in doubt get no
-// second order.
-func (w *work) holds(server *serverState, model *modelState) bool {
+// hasDeclaredVersion reports whether the declared version is on a server in any
+// state. Each server gets at most one replica of a model, and weights with an
+// order in doubt get no second order.
+func (p *planner) hasDeclaredVersion(server *serverState, model *modelState) bool {
 	for _, r := range model.replicas {
-		if &w.servers[r.server] == server && w.resident(r).Version == model.spec.Version {
+		if &p.servers[r.server] == server && p.resident(r).Version == model.spec.Version {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *work) block(model *modelState, why Blocker, have int) {
-	w.result.Blocked = append(w.result.Blocked, Blocked{
+func (p *planner) addBlocked(model *modelState, blocker Blocker, current int) {
+	p.result.Blocked = append(p.result.Blocked, Blocked{
 		Weights: Weights{
 			Model:   model.spec.Name,
 			Version: model.spec.Version,
 		},
-		Why:   why,
-		Have:  have,
-		Want:  model.least(),
+		Why:   blocker,
+		Have:  current,
+		Want:  model.minReplicas(),
 		Needs: model.footprint,
 	})
 }
--- a/internal/control/placement/retire.go
+++ b/internal/control/placement/retire.go
@@ -1,78 +1,78 @@
 package placement
 
-// retire unloads what is not wanted any more: undeclared weights, other
-// versions once the declared one has its replicas ready, and replicas above the
-// greatest number.
-func (w *work) retire() {
-	for i := range w.servers {
-		if w.servers[i].Usable {
-			w.retireUndeclared(i)
+// retire unloads what is no longer wanted: undeclared weights, other versions
+// once enough replicas of the declared one are ready, and replicas above the
+// maximum.
+func (p *planner) retire() {
+	for i := range p.servers {
+		if p.servers[i].Usable {
+			p.retireUndeclared(i)
 		}
 	}
-	for i := range w.models {
-		w.retireVersions(&w.models[i])
-		w.retireAboveMax(&w.models[i])
+	for i := range p.models {
+		p.retireOtherVersions(&p.models[i])
+		p.retireAboveMax(&p.models[i])
 	}
 }
 
-func (w *work) retireUndeclared(server int) {
-	target := &w.servers[server]
+func (p *planner) retireUndeclared(server int) {
+	target := &p.servers[server]
 	for i := range target.Residents {
 		resident := &target.Residents[i]
-		if resident.Unloading || resident.Loading || w.declared(target, resident) {
+		if resident.Unloading || resident.Loading || p.isDeclared(target, resident) {
 			continue
 		}
-		w.unload(server, resident, Move{
+		p.planUnload(server, resident, Move{
 			Reason: ReasonUndeclared,
 		})
 	}
 }
 
-// declared tells whether a model or adapter is declared, in whatever version.
-// An adapter without its base model on the server counts as undeclared there.
-func (w *work) declared(server *serverState, resident *Resident) bool {
-	number, found := w.byName[resident.Model]
+// isDeclared reports whether a model or adapter is declared, in any version. An
+// adapter without its base model on the server counts as undeclared there.
+func (p *planner) isDeclared(server *serverState, resident *Resident) bool {
+	index, found := p.modelIndex[resident.Model]
 	if !found {
 		return false
 	}
 	if resident.Adapter == "" {
 		return true
 	}
-	return server.hasBase(resident.Model) && findAdapter(w.models[number].spec, resident.Adapter) != nil
+	return server.hasBase(resident.Model) && findAdapter(p.models[index].spec, resident.Adapter) != nil
 }
 
-func (w *work) retireVersions(model *modelState) {
-	ready := w.ready(model, true)
-	if ready < model.least() {
+func (p *planner) retireOtherVersions(model *modelState) {
+	readyReplicas := p.countReady(model, true)
+	if readyReplicas < model.minReplicas() {
 		return
 	}
 	for _, r := range model.replicas {
-		if w.resident(r).Version == model.spec.Version || !w.servers[r.server].Usable {
+		if p.resident(r).Version == model.spec.Version || !p.servers[r.server].Usable {
 			continue
 		}
-		if w.mayDrop(model, r) {
-			w.dropReplica(r, Move{
+		if p.canDrop(model, r) {
+			p.planReplicaUnload(r, Move{
 				Reason: ReasonVersion,
-				Have:   ready,
-				Want:   model.least(),
+				Have:   readyReplicas,
+				Want:   model.minReplicas(),
 			})
 		}
 	}
 }
 
-func (w *work) retireAboveMax(model *modelState) {
-	limit := max(model.spec.MaxReplicas, model.least())
-	have := w.present(model)
-	for i := len(model.replicas) - 1; i >= 0 && have > limit; i-- {
+func (p *planner) retireAboveMax(model *modelState) {
+	limit := max(model.spec.MaxReplicas, model.minReplicas())
+	current := p.countPresent(model)
+	for i := len(model.replicas) - 1; i >= 0 && current > limit; i-- {
 		r := model.replicas[i]
-		if !w.servers[r.server].Usable || !w.spare(model, r) {
+		if !p.servers[r.server].Usable || !p.isSpare(model, r) {
 			continue
 		}
-		w.dropReplica(r, Move{
+		p.planReplicaUnload(r, Move{
 			Reason: ReasonAboveMax,
-			Have:   have,
+			Have:   current,
 			Want:   limit,
 		})
-		have--
+		current--
 	}
 }
--- a/internal/control/placement/room.go
+++ b/internal/control/placement/room.go
@@ -2,48 +2,48 @@
 
 import "cicadaloom/internal/domain/unit"
 
-// makeRoom finds a way to room for one more replica of a model, the cheapest
-// first: wait for an unload under way, let a replica of the old version go
-// while another is ready, let something spare go, move something elsewhere.
-// Else the model is blocked.
-func (w *work) makeRoom(model *modelState, move Move) {
-	if w.waitForRoom(model) || w.replaceOldVersion(model, move) {
+// makeRoom frees memory for one more replica of a model in the cheapest way: it
+// waits for an unload in progress, unloads a replica of the old version while
+// another one is ready, evicts spare replicas, or copies another model's
+// replica to a different server. If nothing helps, the model is blocked.
+func (p *planner) makeRoom(model *modelState, move Move) {
+	if p.waitForUnload(model) || p.replaceOldVersion(model, move) {
 		return
 	}
 	move.Reason = ReasonRoom
 	move.For = model.spec.Name
-	if w.evictSpares(model, move) || w.relocate(model, move) {
+	if p.evictSpares(model, move) || p.relocate(model, move) {
 		return
 	}
-	w.block(model, w.whyBlocked(model), move.Have)
+	p.addBlocked(model, p.findBlocker(model), move.Have)
 }
 
-func (w *work) whyBlocked(model *modelState) Blocker {
+func (p *planner) findBlocker(model *modelState) Blocker {
 	usable := 0
-	for i := range w.servers {
-		if w.servers[i].Usable {
+	for i := range p.servers {
+		if p.servers[i].Usable {
 			usable++
 		}
 	}
-	if usable < model.least() {
+	if usable < model.minReplicas() {
 		return BlockedNoServer
 	}
-	if w.hasOtherVersion(model) {
+	if p.hasOtherVersion(model) {
 		return BlockedLastReplica
 	}
 	return BlockedNoRoom
 }
 
-// waitForRoom keeps what an unload under way gives back for this model, so that
-// a second thing is not evicted for the same need.
-func (w *work) waitForRoom(model *modelState) bool {
-	for i := range w.servers {
-		server := &w.servers[i]
-		if !server.Usable || w.holds(server, model) {
+// waitForUnload reserves memory that an unload in progress will free for the
+// model, so that nothing else is evicted for the same need.
+func (p *planner) waitForUnload(model *modelState) bool {
+	for i := range p.servers {
+		server := &p.servers[i]
+		if !server.Usable || p.hasDeclaredVersion(server, model) {
 			continue
 		}
-		if server.coming >= model.footprint && server.coming > server.free {
-			server.coming -= model.footprint
+		if server.freeAfterUnloads >= model.footprint && server.freeAfterUnloads > server.free {
+			server.freeAfterUnloads -= model.footprint
 			server.free -= model.footprint
 			return true
 		}
@@ -51,79 +51,80 @@
 	return false
 }
 
-// replaceOldVersion drops one replica of another version where the new one fits
-// into its place. One at a time: while a replica of the model is on its way
-// out, the others stay.
-func (w *work) replaceOldVersion(model *modelState, move Move) bool {
-	if w.unloading(model) {
+// replaceOldVersion unloads one replica of another version where the new one
+// fits in its memory. While one replica of the model is being unloaded, the
+// others stay.
+func (p *planner) replaceOldVersion(model *modelState, move Move) bool {
+	if p.hasUnloadingReplica(model) {
 		return false
 	}
 	for _, r := range model.replicas {
-		resident := w.resident(r)
-		server := &w.servers[r.server]
-		if resident.Version == model.spec.Version || !server.Usable || w.holds(server, model) {
+		resident := p.resident(r)
+		server := &p.servers[r.server]
+		if resident.Version == model.spec.Version || !server.Usable || p.hasDeclaredVersion(server, model) {
 			continue
 		}
-		if server.coming+w.released(r) < model.footprint || !w.mayDrop(model, r) {
+		if server.freeAfterUnloads+p.releasedMemory(r) < model.footprint || !p.canDrop(model, r) {
 			continue
 		}
 		move.Reason = ReasonVersion
-		w.dropReplica(r, move)
-		server.coming -= model.footprint
+		p.planReplicaUnload(r, move)
+		server.freeAfterUnloads -= model.footprint
 		return true
 	}
 	return false
 }
 
-// released is the memory that dropping a replica gives back, with its adapters
-// and what is put aside for them.
-func (w *work) released(r replica) unit.Bytes {
-	resident := w.resident(r)
+// releasedMemory returns the memory that unloading a replica frees, including
+// that of its adapters and the memory set aside for them.
+func (p *planner) releasedMemory(r replica) unit.Bytes {
+	resident := p.resident(r)
 	total := resident.Memory
-	if number, declared := w.byName[resident.Model]; declared {
-		total += w.models[number].footprint - w.models[number].spec.Memory
+	if index, declared := p.modelIndex[resident.Model]; declared {
+		total += p.models[index].footprint - p.models[index].spec.Memory
 	}
 	return total
 }
 
-// mayDrop guards reachability: a replica goes only while another one of the
-// model, of whatever version, is ready by a fresh report and not itself on its
-// way out, and the same holds for each adapter that is ready here. Without it a
-// version change would leave a model with nothing ready for the time of a load:
-// callers would see "not resident" for every request.
-func (w *work) mayDrop(model *modelState, r replica) bool {
-	dropped := w.resident(r)
+// canDrop reports whether a replica may be unloaded. Another replica of the
+// model, of any version, must be ready according to a fresh report and not
+// being unloaded; the same must hold for each adapter that is ready on this
+// server. Without this check a version change would leave a model with no ready
+// replica for the duration of a load, and callers would see "not resident" for
+// every request.
+func (p *planner) canDrop(model *modelState, r replica) bool {
+	dropped := p.resident(r)
 	if dropped.Unloading || dropped.Loading {
 		return false
 	}
-	others := w.ready(model, false)
+	others := p.countReady(model, false)
 	if dropped.Ready {
 		others--
 	}
 	if others < 1 {
 		return false
 	}
-	if w.staysBeside(model, r) {
+	if p.hasReadyReplicaBeside(model, r) {
 		return true // the adapters stay with the other version here
 	}
-	server := &w.servers[r.server]
+	server := &p.servers[r.server]
 	for i := range server.Residents {
 		resident := &server.Residents[i]
 		if resident.Model != dropped.Model || resident.Adapter == "" || !resident.Ready {
 			continue
 		}
-		if findAdapter(model.spec, resident.Adapter) != nil && !w.adapterReadyElsewhere(model, r, resident) {
+		if findAdapter(model.spec, resident.Adapter) != nil && !p.isAdapterReadyElsewhere(model, r, resident) {
 			return false
 		}
 	}
 	return true
 }
 
-// staysBeside tells whether another version of the model is ready on the same
-// server.
-func (w *work) staysBeside(model *modelState, except replica) bool {
+// hasReadyReplicaBeside reports whether another version of the model is ready
+// on the same server.
+func (p *planner) hasReadyReplicaBeside(model *modelState, except replica) bool {
 	for _, r := range model.replicas {
-		other := w.resident(r)
+		other := p.resident(r)
 		if r != except && r.server == except.server && other.Ready && !other.Unloading {
 			return true
 		}
@@ -131,15 +132,15 @@
 	return false
 }
 
-// adapterReadyElsewhere tells whether an adapter is ready beside another ready
-// replica of its base model than the given one.
-func (w *work) adapterReadyElsewhere(model *modelState, except replica, adapter *Resident) bool {
+// isAdapterReadyElsewhere reports whether an adapter is ready on the server of
+// another ready replica of its base model.
+func (p *planner) isAdapterReadyElsewhere(model *modelState, except replica, adapter *Resident) bool {
 	for _, r := range model.replicas {
-		base := w.resident(r)
+		base := p.resident(r)
 		if r == except || !base.Ready || base.Unloading {
 			continue
 		}
-		server := &w.servers[r.server]
+		server := &p.servers[r.server]
 		for i := range server.Residents {
 			other := &server.Residents[i]
 			if other == adapter {
@@ -153,49 +154,51 @@
 	return false
 }
 
-// spare tells whether a replica is above the least number, counting only those
-// that are ready without it.
-func (w *work) spare(model *modelState, r replica) bool {
-	resident := w.resident(r)
-	if resident.Version != model.spec.Version || !w.mayDrop(model, r) {
+// isSpare reports whether enough replicas of the declared version are ready
+// without this one.
+func (p *planner) isSpare(model *modelState, r replica) bool {
+	resident := p.resident(r)
+	if resident.Version != model.spec.Version || !p.canDrop(model, r) {
 		return false
 	}
-	left := w.ready(model, true)
+	readyWithout := p.countReady(model, true)
 	if resident.Ready {
-		left--
+		readyWithout--
 	}
-	return left >= model.least()
+	return readyWithout >= model.minReplicas()
 }
 
-// evictSpares drops the fewest spare replicas on one server that make room.
-func (w *work) evictSpares(model *modelState, move Move) bool {
+// evictSpares unloads the smallest set of spare replicas on one server that
+// frees enough memory.
+func (p *planner) evictSpares(model *modelState, move Move) bool {
 	var best []replica
-	for i := range w.servers {
-		server := &w.servers[i]
-		if !server.Usable || w.holds(server, model) {
+	for i := range p.servers {
+		server := &p.servers[i]
+		if !server.Usable || p.hasDeclaredVersion(server, model) {
 			continue
 		}
-		victims := w.victims(i, model)
+		victims := p.findVictims(i, model)
 		if victims != nil && (best == nil || len(victims) < len(best)) {
 			best = victims
 		}
 	}
 	for _, victim := range best {
-		w.dropReplica(victim, move)
+		p.planReplicaUnload(victim, move)
 	}
 	if best != nil {
-		w.servers[best[0].server].coming -= model.footprint
+		p.servers[best[0].server].freeAfterUnloads -= model.footprint
 	}
 	return best != nil
 }
 
-// victims lists spare replicas on a server that together make room, or nothing.
-func (w *work) victims(server int, model *modelState) []replica {
-	room := w.servers[server].coming
+// findVictims returns spare replicas on a server that together free enough
+// memory, or nil.
+func (p *planner) findVictims(server int, model *modelState) []replica {
+	available := p.servers[server].freeAfterUnloads
 	var victims []replica
-	for i := range w.servers[server].Residents {
-		resident := &w.servers[server].Residents[i]
-		number, declared := w.byName[resident.Model]
+	for i := range p.servers[server].Residents {
+		resident := &p.servers[server].Residents[i]
+		index, declared := p.modelIndex[resident.Model]
 		if !declared || resident.Adapter != "" || resident.Model == model.spec.Name {
 			continue
 		}
@@ -203,24 +206,24 @@
 			server:   server,
 			resident: i,
 		}
-		if !w.spare(&w.models[number], candidate) {
+		if !p.isSpare(&p.models[index], candidate) {
 			continue
 		}
 		victims = append(victims, candidate)
-		room += w.released(candidate)
-		if room >= model.footprint {
+		available += p.releasedMemory(candidate)
+		if available >= model.footprint {
 			return victims
 		}
 	}
 	return nil
 }
 
-// relocate starts a copy of another model's replica elsewhere, so that the
-// replica here becomes spare and a later round can evict it.
-func (w *work) relocate(model *modelState, move Move) bool {
-	for i := range w.servers {
-		server := &w.servers[i]
-		if !server.Usable || w.holds(server, model) {
+// relocate loads a copy of another model's replica on a different server. The
+// replica here then becomes spare, and a later call of Plan can evict it.
+func (p *planner) relocate(model *modelState, move Move) bool {
+	for i := range p.servers {
+		server := &p.servers[i]
+		if !server.Usable || p.hasDeclaredVersion(server, model) {
 			continue
 		}
 		for j := range server.Residents {
@@ -228,7 +231,7 @@
 				server:   i,
 				resident: j,
 			}
-			if w.relocateOne(model, candidate, move) {
+			if p.relocateReplica(model, candidate, move) {
 				return true
 			}
 		}
@@ -236,28 +239,28 @@
 	return false
 }
 
-func (w *work) relocateOne(model *modelState, candidate replica, move Move) bool {
-	resident := w.resident(candidate)
-	number, declared := w.byName[resident.Model]
+func (p *planner) relocateReplica(model *modelState, candidate replica, move Move) bool {
+	resident := p.resident(candidate)
+	index, declared := p.modelIndex[resident.Model]
 	if !declared || resident.Adapter != "" || !resident.Ready || resident.Unloading {
 		return false
 	}
-	moved := &w.models[number]
+	moved := &p.models[index]
 	if moved.spec.Name == model.spec.Name || resident.Version != moved.spec.Version {
 		return false
 	}
-	if w.servers[candidate.server].coming+w.released(candidate) < model.footprint {
+	if p.servers[candidate.server].freeAfterUnloads+p.releasedMemory(candidate) < model.footprint {
 		return false
 	}
-	if w.present(moved) > moved.least() {
+	if p.countPresent(moved) > moved.minReplicas() {
 		return true // a copy is on its way: wait for it
 	}
-	target, found := w.bestServer(moved, "")
+	target, found := p.findServer(moved, "")
 	if !found || target == candidate.server {
 		return false
 	}
-	if w.budget.Models > 0 {
-		w.load(moved, target, move)
+	if p.budget.Models > 0 {
+		p.planLoad(moved, target, move)
 	}
 	return true
 }
