--- a/internal/traffic/dispatch/claim_test.go
+++ b/internal/traffic/dispatch/claim_test.go
@@ -41,7 +41,7 @@
 		}
 		stored, failure := h.claim(context.Background())
 		require.Nil(t, stored)
-		require.NotNil(t, failure, "verdict %v let the request go", verdict)
+		require.NotNil(t, failure, "verdict %v allowed sending", verdict)
 		require.Equal(t, verdict == claims.KeyReused, failure.Outcome.IsNotRun(), "verdict %v", verdict)
 	}
 }
--- a/internal/traffic/dispatch/link_test.go
+++ b/internal/traffic/dispatch/link_test.go
@@ -63,7 +63,7 @@
 	t.Logf("%d crossed, sent %v, received %v, most %v", started, sent, received, limit)
 	require.LessOrEqual(t, sent, limit)
 	require.LessOrEqual(t, received, limit)
-	require.Greater(t, received, limit*8/10, "what is paid for is used")
+	require.Greater(t, received, limit*8/10, "the budget must be used")
 }
 
 func TestZeroLinkBudgetAllowsNoTransfer(t *testing.T) {
--- a/internal/traffic/host/certificates.go
+++ b/internal/traffic/host/certificates.go
@@ -11,19 +11,20 @@
 	"cicadaloom/internal/config/settings"
 )
 
-// certificates serves the certificate in two files and reads them again when
-// they change. Platforms replace certificates in place, long before the old one
-// ends; a host that read them only once would serve the old one past its end.
+// certificates serves the certificate and key of two files, and reads them
+// again when they change. Platforms replace certificate files in place, long
+// before the old certificate expires; a host that read them only once would
+// serve the old one after its expiry.
 type certificates struct {
-	files   settings.TLS
-	mu      sync.Mutex
-	current *tls.Certificate
-	changed time.Time
-	lookAt  time.Time
+	files      settings.TLS
+	mu         sync.Mutex
+	current    *tls.Certificate
+	modifiedAt time.Time
+	nextCheck  time.Time
 }
 
-// lookEvery is how often the files are looked at, at most.
-const lookEvery = time.Second
+// checkInterval is the minimum time between checks of the files.
+const checkInterval = time.Second
 
 func newCertificates(files settings.TLS) (*certificates, error) {
 	c := &certificates{
@@ -36,7 +37,7 @@
 }
 
 func (c *certificates) load() error {
-	changed, err := lastChange(c.files)
+	modifiedAt, err := lastModified(c.files)
 	if err != nil {
 		return err
 	}
@@ -45,11 +46,11 @@
 		return errors.Wrap(err, "certificate and key")
 	}
 	c.current = &pair
-	c.changed = changed
+	c.modifiedAt = modifiedAt
 	return nil
 }
 
-func lastChange(files settings.TLS) (time.Time, error) {
+func lastModified(files settings.TLS) (time.Time, error) {
 	var last time.Time
 	for _, name := range []string{files.CertificateFile, files.KeyFile} {
 		info, err := os.Stat(name)
@@ -63,17 +64,18 @@
 	return last, nil
 }
 
-// get gives the newest pair that can be read: while the files are being
-// replaced, one may not fit the other, and the pair before goes on.
-func (c *certificates) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+// getCertificate returns the latest pair that could be read. While the files
+// are being replaced, the certificate may not match the key; the previous pair
+// is then served.
+func (c *certificates) getCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if now.Before(c.lookAt) {
+	if now.Before(c.nextCheck) {
 		return c.current, nil
 	}
-	c.lookAt = now.Add(lookEvery)
-	if changed, err := lastChange(c.files); err == nil && !changed.Equal(c.changed) {
+	c.nextCheck = now.Add(checkInterval)
+	if modifiedAt, err := lastModified(c.files); err == nil && !modifiedAt.Equal(c.modifiedAt) {
 		_ = c.load()
 	}
 	return c.current, nil
--- a/internal/traffic/host/certificates_test.go
+++ b/internal/traffic/host/certificates_test.go
@@ -18,8 +18,9 @@
 	"cicadaloom/internal/config/settings"
 )
 
-// writePair writes a certificate of a serial number, and its key.
-func writePair(t *testing.T, files settings.TLS, serial int64) {
+// writeCertificatePair writes a certificate with the given serial number, and
+// its key.
+func writeCertificatePair(t *testing.T, files settings.TLS, serial int64) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -47,43 +48,44 @@
 	require.NoError(t, os.WriteFile(file, pem.EncodeToMemory(block), 0o600))
 }
 
-func serialOf(t *testing.T, c *certificates) int64 {
+func servedSerial(t *testing.T, c *certificates) int64 {
 	t.Helper()
-	c.lookAt = time.Time{}
-	pair, err := c.get(nil)
+	c.nextCheck = time.Time{}
+	pair, err := c.getCertificate(nil)
 	require.NoError(t, err)
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
 	require.NoError(t, err)
 	return leaf.SerialNumber.Int64()
 }
 
-// An operator replaces the certificate while the host runs. Between the writing
-// of the two files the new certificate does not fit the old key; the host goes
-// on with the pair before, and takes the new one once both files are there.
-func TestCertificatesAreReadAgain(t *testing.T) {
+// An operator replaces the certificate while the host runs. After only one of
+// the two files has been written, the new certificate does not match the old
+// key; the host continues to serve the previous pair, and loads the new one
+// once both files are there.
+func TestReplacedCertificateIsLoaded(t *testing.T) {
 	folder := t.TempDir()
 	files := settings.TLS{
 		CertificateFile: filepath.Join(folder, "host.pem"),
 		KeyFile:         filepath.Join(folder, "key.pem"),
 	}
-	writePair(t, files, 1)
+	writeCertificatePair(t, files, 1)
 	c, err := newCertificates(files)
 	require.NoError(t, err)
-	require.EqualValues(t, 1, serialOf(t, c))
+	require.EqualValues(t, 1, servedSerial(t, c))
 
-	half := files
-	half.KeyFile = filepath.Join(folder, "other.pem")
-	writePair(t, half, 2)
+	mismatched := files
+	mismatched.KeyFile = filepath.Join(folder, "other.pem")
+	writeCertificatePair(t, mismatched, 2)
 	later := time.Now().Add(time.Minute)
 	require.NoError(t, os.Chtimes(files.CertificateFile, later, later))
-	require.EqualValues(t, 1, serialOf(t, c), "half a pair was served")
+	require.EqualValues(t, 1, servedSerial(t, c), "a mismatched pair was served")
 
-	writePair(t, files, 3)
+	writeCertificatePair(t, files, 3)
 	require.NoError(t, os.Chtimes(files.KeyFile, later.Add(time.Minute), later.Add(time.Minute)))
-	require.EqualValues(t, 3, serialOf(t, c))
+	require.EqualValues(t, 3, servedSerial(t, c))
 }
 
-func TestCertificatesMustBeThere(t *testing.T) {
+func TestMissingCertificateFails(t *testing.T) {
 	_, err := newCertificates(settings.TLS{
 		CertificateFile: "no-such-file",
 		KeyFile:         "no-such-file",
--- a/internal/traffic/host/crash_test.go
+++ b/internal/traffic/host/crash_test.go
@@ -21,15 +21,15 @@
 	crashRounds  = 3
 )
 
-// A whole region is down: one prompt crashes each engine that runs it, an eager
-// client sends it many times at once through the balancer to all hosts, and each
-// copy takes another engine along before any host has heard of a death. However
-// many copies come at once, and again, two engines are lost at most. What others
-// ask is answered.
-func TestOneRequestThroughAllHostsTakesTwoReplicasAtMost(t *testing.T) {
+// One prompt crashes each engine that runs it, and a client sends many copies
+// at once through the balancer to all hosts. If each copy crashed another
+// engine before any host learned of the first crash, a whole region would fail.
+// However many copies arrive, at once or later, at most two engines may crash,
+// and other requests must be answered.
+func TestCrashingRequestCrashesTwoEnginesAtMost(t *testing.T) {
 	f := newFleet(t, crashEngines, crashHosts)
-	f.put("testdata/crash.json", 1)
-	f.awaitReplicas("briefing", crashEngines)
+	f.putDocument("testdata/crash.json", 1)
+	f.waitForReplicas("briefing", crashEngines)
 	for _, running := range f.platform.Engines {
 		running.Faults.Set(engine.Faults{
 			CrashOnMarker: "poison",
@@ -40,7 +40,7 @@
 	for range crashRounds {
 		for i := range crashCopies {
 			wait.Go(func() {
-				if f.ask(i%crashHosts, "poison") == http.StatusOK {
+				if f.chatStatus(i%crashHosts, "poison") == http.StatusOK {
 					poisoned.Add(1)
 				}
 			})
@@ -49,30 +49,32 @@
 	}
 	for i := range crashCopies {
 		wait.Go(func() {
-			if f.ask(i%crashHosts, fmt.Sprint("innocent ", i)) == http.StatusOK {
+			if f.chatStatus(i%crashHosts, fmt.Sprint("innocent ", i)) == http.StatusOK {
 				answered.Add(1)
 			}
 		})
 	}
 	wait.Wait()
-	require.LessOrEqual(t, f.total(func(s engine.Stats) int { return s.Crashes }), 2)
+	require.LessOrEqual(t, f.sumStats(func(s engine.Stats) int { return s.Crashes }), 2)
 	require.Zero(t, poisoned.Load())
 	require.EqualValues(t, crashCopies, answered.Load())
 }
 
-// awaitReplicas waits until every host sees so many replicas.
-func (f *fleet) awaitReplicas(model string, count int) {
+// waitForReplicas waits until every host has the given number of replicas of a
+// model in its table.
+func (f *fleet) waitForReplicas(model string, count int) {
 	for _, running := range f.hosts {
 		require.Eventually(f.t, func() bool {
 			target, found := running.control.Table().Target(ident.ModelName(model))
 			return found && len(target.Replicas) == count
-		}, waitMost, waitEvery)
+		}, waitTimeout, pollInterval)
 	}
 }
 
-// ask sends one short chat and gives the status.
-func (f *fleet) ask(host int, text string) int {
-	answer, err := f.chat(context.Background(), host, `{"model":"briefing","max_tokens":2,"messages":[{"role":"user","content":"`+text+`"}]}`)
+// chatStatus sends one short chat and returns the HTTP status, or 0 on an
+// error.
+func (f *fleet) chatStatus(host int, text string) int {
+	answer, err := f.sendChat(context.Background(), host, `{"model":"briefing","max_tokens":2,"messages":[{"role":"user","content":"`+text+`"}]}`)
 	if err != nil {
 		return 0
 	}
--- a/internal/traffic/host/drain.go
+++ b/internal/traffic/host/drain.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// drain is how far a planned stop has come.
+// drain is the state of a planned stop. mu guards both fields.
 type drain struct {
-	mu       sync.Mutex
-	stopping bool
-	ending   bool
+	mu          sync.Mutex
+	stopping    bool
+	stopStarted bool
 }
 
-// Drain begins a planned stop: new requests are refused as not run, the balancer
-// and the peers are told, partitions and leadership go to other hosts. What is
-// in flight goes on, operators and peers are still answered, and the process
-// does not end by itself.
+// Drain starts a planned stop: new requests are refused as not run, the
+// balancer and the peers are informed, partitions and leadership go to other
+// hosts. Requests in flight continue, operators and peers are still answered,
+// and the process does not end by itself.
 func (h *Host) Drain() {
 	h.drain.mu.Lock()
 	defer h.drain.mu.Unlock()
@@ -24,12 +24,12 @@
 	h.control.Stopping()
 }
 
-// Resume takes Drain back. It tells false where Stop has begun: a host that ends
-// must not take requests which it could only cut.
+// Resume reverts Drain. It returns false if Stop has started: a host that is
+// ending must not accept requests that it could only cut.
 func (h *Host) Resume() bool {
 	h.drain.mu.Lock()
 	defer h.drain.mu.Unlock()
-	if h.drain.ending {
+	if h.drain.stopStarted {
 		return false
 	}
 	if h.drain.stopping {
@@ -40,22 +40,22 @@
 	return true
 }
 
-// Stopping tells whether the host takes no new requests.
+// Stopping reports whether the host refuses new requests.
 func (h *Host) Stopping() bool {
 	h.drain.mu.Lock()
 	defer h.drain.mu.Unlock()
 	return h.drain.stopping
 }
 
-// InFlight gives the number of callers' requests under way.
+// InFlight returns the number of callers' requests in flight.
 func (h *Host) InFlight() int64 {
 	return h.callers.InFlight()
 }
 
-// end drains for good.
-func (h *Host) end() {
+// drainForStop drains the host and prevents Resume.
+func (h *Host) drainForStop() {
 	h.Drain()
 	h.drain.mu.Lock()
 	defer h.drain.mu.Unlock()
-	h.drain.ending = true
+	h.drain.stopStarted = true
 }
--- a/internal/traffic/host/fleet_test.go
+++ b/internal/traffic/host/fleet_test.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	waitMost   = 30 * time.Second
-	waitEvery  = 10 * time.Millisecond
-	adminToken = "admin-token-0123456789"
+	waitTimeout  = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
+	adminToken   = "admin-token-0123456789"
 )
 
-// fleet is a platform and entry hosts in this process.
+// fleet is a simulated platform with entry hosts, all in this process.
 type fleet struct {
 	t        *testing.T
 	platform *platform.Platform
 	hosts    []*Host
-	// linkBudget is for the hosts that are added next.
+	// linkBudget is the link budget of hosts that are added later.
 	linkBudget unit.Bytes
 }
 
@@ -62,13 +62,13 @@
 
 func (f *fleet) addHost(name ident.HostID) {
 	f.t.Helper()
-	started, err := Start(f.settings(name), zap.NewNop())
+	started, err := Start(f.hostSettings(name), zap.NewNop())
 	require.NoError(f.t, err)
 	f.hosts = append(f.hosts, started)
 	require.NoError(f.t, f.platform.AddEntryHost(name, started.Peers))
 }
 
-func (f *fleet) settings(name ident.HostID) settings.Settings {
+func (f *fleet) hostSettings(name ident.HostID) settings.Settings {
 	result := f.platform.HostSettings(name)
 	result.Policy.LinkBudget = f.linkBudget
 	result.Operators.AdminToken = adminToken
@@ -79,9 +79,9 @@
 	return result
 }
 
-// put makes a document the accepted one and waits until every host serves all
-// its models.
-func (f *fleet) put(file string, models int) {
+// putDocument submits a document and waits until every host has a replica of
+// the given number of models.
+func (f *fleet) putDocument(file string, models int) {
 	f.t.Helper()
 	text, err := os.ReadFile(file)
 	require.NoError(f.t, err)
@@ -96,7 +96,7 @@
 		}
 		defer answer.Body.Close()
 		return answer.StatusCode == http.StatusOK
-	}, waitMost, waitEvery)
+	}, waitTimeout, pollInterval)
 	for _, running := range f.hosts {
 		require.Eventually(f.t, func() bool {
 			table := running.control.Table()
@@ -107,7 +107,7 @@
 				}
 			}
 			return ready == models
-		}, waitMost, waitEvery)
+		}, waitTimeout, pollInterval)
 	}
 }
 
@@ -118,8 +118,8 @@
 	f.platform.Stop()
 }
 
-// addPlain starts a plain service.
-func (f *fleet) addPlain(service ident.ServiceName, options plain.Options) *plain.Service {
+// addPlainService starts a plain service.
+func (f *fleet) addPlainService(service ident.ServiceName, options plain.Options) *plain.Service {
 	f.t.Helper()
 	name := ident.ServerName(service + "-1")
 	_, err := f.platform.AddPlain(name, service, options)
--- a/internal/traffic/host/history_test.go
+++ b/internal/traffic/host/history_test.go
@@ -18,17 +18,17 @@
 	"cicadaloom/internal/standin/plain"
 )
 
-// verdict is what a caller was told of a request that may not be repeated.
-type verdict string
+// runReport is what a caller was told about a request that may not be repeated.
+type runReport string
 
 const (
-	ranNow    verdict = "RanNow"
-	ranBefore verdict = "RanBefore"
-	notRun    verdict = "NotRun"
-	mayHave   verdict = "MayHaveRun"
+	ranNow     runReport = "RanNow"
+	ranBefore  runReport = "RanBefore"
+	notRun     runReport = "NotRun"
+	mayHaveRun runReport = "MayHaveRun"
 )
 
-func verdictOf(status int, header http.Header, err error) verdict {
+func readRunReport(status int, header http.Header, err error) runReport {
 	switch run := header.Get("Cicadaloom-Run"); {
 	case err == nil && status == http.StatusOK && header.Get("Cicadaloom-Replayed") != "", run == "Ran":
 		return ranBefore
@@ -37,13 +37,13 @@
 	case run == "NotRun":
 		return notRun
 	default:
-		return mayHave
+		return mayHaveRun
 	}
 }
 
-// onceModel is one request: it has run or not. Whoever is told MayHaveRun may
-// have run it, at any time later too.
-var onceModel = porcupine.NondeterministicModel{
+// runOnceModel is the state of one request: whether it has run. A request
+// reported as MayHaveRun may have run, or may still run at any later time.
+var runOnceModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
 		for _, operation := range history {
@@ -58,27 +58,28 @@
 	Init: func() []any { return []any{false} },
 	Step: func(state, _, output any) []any {
 		ran := state.(bool)
-		switch output.(verdict) {
+		switch output.(runReport) {
 		case ranNow:
-			return only(!ran, true)
+			return nextStateIf(!ran, true)
 		case ranBefore:
-			return only(ran, true)
+			return nextStateIf(ran, true)
 		case notRun:
-			return only(!ran, false)
+			return nextStateIf(!ran, false)
 		default:
 			return []any{ran, true}
 		}
 	},
 }
 
-func only(allowed bool, next any) []any {
+func nextStateIf(allowed bool, next any) []any {
 	if !allowed {
 		return nil
 	}
 	return []any{next}
 }
 
-// keyValueFaults come one after the other while the callers ask.
+// keyValueFaults are injected one after the other while the callers send
+// requests.
 var keyValueFaults = []etcd.Faults{
 	{LoseAnswers: 3},
 	{Slow: 5 * time.Millisecond, MaxDelay: 150 * time.Millisecond},
@@ -88,8 +89,8 @@
 	{},
 }
 
-// editFaults leave out Down: an edit in an outage takes its whole patience. The
-// model-based tests of package documents have that.
+// editFaults don't include Down, since an edit during an outage takes its whole
+// timeout. The model-based tests of package documents cover that case.
 var editFaults = []etcd.Faults{
 	{LoseAnswers: 2},
 	{Slow: 5 * time.Millisecond, MaxDelay: 80 * time.Millisecond},
@@ -97,10 +98,10 @@
 	{SilentWatches: true},
 }
 
-// recorder collects a history and switches the faults on its way.
+// recorder collects a history of operations and injects faults meanwhile.
 type recorder struct {
 	fleet *fleet
-	// faults come one after the other, each after so many operations.
+	// faults are injected in this order, the next one after every operations.
 	faults []etcd.Faults
 	every  int
 	mu     sync.Mutex
@@ -116,21 +117,21 @@
 	}
 }
 
-// Callers send the same dispatches through all hosts at once, while answers of
-// the key-value service are lost, late or missing and the desk cuts connections
-// after it ran a request. Each dispatch runs at most once, and what the callers
-// are told of it fits one order of events.
+// Callers send the same requests through all hosts at once, while answers of
+// the key-value service are lost, late or missing, and the plain service cuts
+// connections after it ran a request. Each request must run at most once, and
+// what the callers are told must be linearizable.
 func TestDispatchesThroughAllHostsAreLinearizable(t *testing.T) {
-	const callers, asked, window, seed = 8, 45, 3, 7
+	const callers, requests, window, seed = 8, 45, 3, 7
 	f := newFleet(t, 2, 3)
 	_, err := f.platform.AddPlain("desk", "boat-dispatch", plain.Options{})
 	require.NoError(t, err)
-	f.put(historyDocument, 1)
+	f.putDocument(historyDocument, 1)
 	for _, running := range f.hosts {
 		require.Eventually(t, func() bool {
-			status, _, _, err := post(running.Callers, "/services/boat-dispatch/", "warm", "Idempotency-Key", "warm")
+			status, _, _, err := postRequest(running.Callers, "/services/boat-dispatch/", "warm", "Idempotency-Key", "warm")
 			return err == nil && status == http.StatusOK
-		}, waitMost, waitEvery)
+		}, waitTimeout, pollInterval)
 	}
 	desk := f.platform.Plains["desk"]
 	r := &recorder{
@@ -138,12 +139,12 @@
 		faults: keyValueFaults,
 		every:  25,
 	}
-	began := time.Now()
+	start := time.Now()
 	var group sync.WaitGroup
 	for caller := range callers {
 		group.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(caller)))
-			for n := range asked {
+			for n := range requests {
 				key := fmt.Sprintf("boat-%d", n/window*2+random.IntN(2))
 				if random.IntN(60) == 0 {
 					desk.Faults.Set(plain.Faults{
@@ -153,13 +154,13 @@
 				op := porcupine.Operation{
 					ClientId: caller,
 					Input:    key,
-					Call:     time.Since(began).Nanoseconds(),
+					Call:     time.Since(start).Nanoseconds(),
 				}
-				status, header, _, err := post(f.hosts[random.IntN(len(f.hosts))].Callers, "/services/boat-dispatch/", key,
+				status, header, _, err := postRequest(f.hosts[random.IntN(len(f.hosts))].Callers, "/services/boat-dispatch/", key,
 					"Idempotency-Key", key, "Cicadaloom-Timeout", "2s")
-				op.Output = verdictOf(status, header, err)
-				op.Return = time.Since(began).Nanoseconds()
-				if op.Output == mayHave {
+				op.Output = readRunReport(status, header, err)
+				op.Return = time.Since(start).Nanoseconds()
+				if op.Output == mayHaveRun {
 					op.Return = time.Hour.Nanoseconds() // it may still run
 				}
 				r.add(op)
@@ -168,36 +169,37 @@
 	}
 	group.Wait()
 	f.platform.Store.SetFaults(etcd.Faults{})
-	counts := make(map[verdict]int)
+	counts := make(map[runReport]int)
 	for _, op := range r.ops {
-		counts[op.Output.(verdict)]++
+		counts[op.Output.(runReport)]++
 	}
-	t.Logf("seed %d: %v in %s", seed, counts, time.Since(began).Round(time.Millisecond))
+	t.Logf("seed %d: %v in %s", seed, counts, time.Since(start).Round(time.Millisecond))
 	for body, runs := range desk.Stats().RunsOfBody {
 		require.Equal(t, 1, runs, "body %s", body)
 	}
-	require.True(t, porcupine.CheckOperations(onceModel.ToModel(), r.ops))
+	require.True(t, porcupine.CheckOperations(runOnceModel.ToModel(), r.ops))
 	require.Positive(t, counts[ranNow])
 	require.Positive(t, counts[ranBefore])
 }
 
-// edited is an operator's edit: the text that it replaces, and its own.
-type edited struct {
+// documentEdit is an operator's edit: the text that it replaces, and its own
+// text.
+type documentEdit struct {
 	from, to string
 }
 
-// editModel is one document: its text. An edit of which the outcome is unknown
-// may have been accepted.
+// editModel is the text of one document. An edit with an unknown outcome may
+// have been accepted.
 var editModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		edit := input.(edited)
+		edit := input.(documentEdit)
 		fits := state.(string) == edit.from
 		switch output.(int) {
 		case http.StatusOK:
-			return only(fits, edit.to)
+			return nextStateIf(fits, edit.to)
 		case http.StatusConflict:
-			return only(!fits, state)
+			return nextStateIf(!fits, state)
 		case http.StatusServiceUnavailable:
 			return []any{state}
 		default:
@@ -209,13 +211,14 @@
 	},
 }
 
-// Operators of one team edit through all hosts at once, each from what its host
-// has in force, while the key-value service fails in its ways. Accepted edits
-// form one chain, a conflict is a conflict, and no host ever goes back.
+// Operators of one team edit a document through all hosts at once, each
+// starting from the text in force at its host, while the key-value service has
+// faults. Accepted edits must form one chain, conflicts must be reported as
+// such, and no host may return to an earlier revision.
 func TestEditsThroughAllHostsAreLinearizable(t *testing.T) {
 	const operators, edits = 4, 20
 	f := newFleet(t, 2, 3)
-	f.put(historyDocument, 1)
+	f.putDocument(historyDocument, 1)
 	r := &recorder{
 		fleet:  f,
 		faults: editFaults,
@@ -223,31 +226,31 @@
 	}
 	texts := make(map[string]string)
 	latest := make([]ident.Revision, len(f.hosts))
-	began := time.Now()
+	start := time.Now()
 	var group sync.WaitGroup
 	var reverted []string
 	for operator := range operators {
 		group.Go(func() {
 			for n := range edits {
-				at := (operator + n) % len(f.hosts)
+				host := (operator + n) % len(f.hosts)
 				r.mu.Lock()
-				tag, text := f.read(at)
-				if revision := revisionOf(tag); revision < latest[at] || texts[tag] != "" && texts[tag] != text {
-					reverted = append(reverted, fmt.Sprintf("entry-%d: %s after %d", at, tag, latest[at]))
+				tag, text := f.readDocument(host)
+				if revision := parseRevision(tag); revision < latest[host] || texts[tag] != "" && texts[tag] != text {
+					reverted = append(reverted, fmt.Sprintf("entry-%d: %s after %d", host, tag, latest[host]))
 				} else {
-					latest[at], texts[tag] = revision, text
+					latest[host], texts[tag] = revision, text
 				}
 				r.mu.Unlock()
 				op := porcupine.Operation{
 					ClientId: operator,
-					Input: edited{
+					Input: documentEdit{
 						from: text,
-						to:   documentOf(fmt.Sprintf("desk-%d-%d", operator, n)),
+						to:   newDocument(fmt.Sprintf("desk-%d-%d", operator, n)),
 					},
-					Call: time.Since(began).Nanoseconds(),
+					Call: time.Since(start).Nanoseconds(),
 				}
-				op.Output = f.edit(at, tag, op.Input.(edited).to)
-				op.Return = time.Since(began).Nanoseconds()
+				op.Output = f.editDocument(host, tag, op.Input.(documentEdit).to)
+				op.Return = time.Since(start).Nanoseconds()
 				if op.Output == http.StatusGatewayTimeout {
 					op.Return = time.Hour.Nanoseconds()
 				}
@@ -261,31 +264,31 @@
 	for _, op := range r.ops {
 		counts[op.Output.(int)]++
 	}
-	t.Logf("%v in %s", counts, time.Since(began).Round(time.Millisecond))
+	t.Logf("%v in %s", counts, time.Since(start).Round(time.Millisecond))
 	require.Empty(t, reverted)
 	require.True(t, porcupine.CheckOperations(editModel.ToModel(), r.ops))
 	require.Positive(t, counts[http.StatusOK])
 	require.Positive(t, counts[http.StatusConflict])
 	require.Eventually(t, func() bool {
-		first, _ := f.read(0)
-		second, _ := f.read(1)
-		third, _ := f.read(2)
+		first, _ := f.readDocument(0)
+		second, _ := f.readDocument(1)
+		third, _ := f.readDocument(2)
 		return first == second && second == third
-	}, waitMost, waitEvery)
+	}, waitTimeout, pollInterval)
 }
 
-func documentOf(service string) string {
+func newDocument(service string) string {
 	return `{"Team":"nour","DefaultClass":"Studio","Classes":[{"Name":"Studio","Share":30}],"Models":[],` +
 		`"Services":[{"Name":"` + service + `","ForbidRepeat":["POST"],"Promise":{"FirstToken":"1s"}}]}`
 }
 
-func revisionOf(tag string) ident.Revision {
+func parseRevision(tag string) ident.Revision {
 	var revision ident.Revision
 	_, _ = fmt.Sscanf(tag, `"%d"`, &revision)
 	return revision
 }
 
-func (f *fleet) admin(host int, method, tag, body string) (*http.Response, error) {
+func (f *fleet) sendAdminRequest(host int, method, tag, body string) (*http.Response, error) {
 	request, err := http.NewRequest(method, "http://"+f.hosts[host].Operators+"/admin/documents/nour", strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -295,9 +298,10 @@
 	return http.DefaultClient.Do(request)
 }
 
-// read gives the revision and text of the document in force at a host, "0" for none.
-func (f *fleet) read(host int) (string, string) {
-	response, err := f.admin(host, http.MethodGet, "", "")
+// readDocument returns the ETag and text of the document in force at a host, or
+// "0" in quotes and no text if there is none.
+func (f *fleet) readDocument(host int) (string, string) {
+	response, err := f.sendAdminRequest(host, http.MethodGet, "", "")
 	if err != nil {
 		return `"0"`, ""
 	}
@@ -312,8 +316,8 @@
 	return response.Header.Get("Etag"), string(text)
 }
 
-func (f *fleet) edit(host int, tag, text string) int {
-	response, err := f.admin(host, http.MethodPut, tag, text)
+func (f *fleet) editDocument(host int, tag, text string) int {
+	response, err := f.sendAdminRequest(host, http.MethodPut, tag, text)
 	if err != nil {
 		return http.StatusGatewayTimeout
 	}
--- a/internal/traffic/host/host.go
+++ b/internal/traffic/host/host.go
@@ -1,4 +1,10 @@
-// Package host puts an entry host together from its parts, starts it and stops it.
+// Package host assembles an entry host from its parts, starts it and stops it.
+//
+// Start opens the connection to the key-value service, the control loop, and
+// the servers for peers, callers and operators, which run on goroutines of
+// their own. Host is the running host. The command and the tests call this
+// package. Drain, Resume and Stopping are safe for concurrent use; Stop is
+// called once.
 //
 // # Usage
 //
@@ -6,16 +12,17 @@
 //	...
 //	err = running.Stop(ctx)
 //
-// # A planned stop
+// # Planned stop
 //
-// Stop cuts no request. The host first says at its health page that it is
-// stopping and serves on, until the balancer has had time to see it. Then peers
-// are told by the next exchange, and new requests are refused as not run. Those
-// in flight go on to their ends, within the context's time. Then what they have left to tell of their claims is written,
-// the leadership is given back, and the host ends.
+// Stop cuts no request. The host first reports at its health page that it is
+// stopping and continues to serve until the balancer has had time to notice.
+// Then it refuses new requests as not run, and the next exchange informs its
+// peers. Requests in flight run to their ends, for as long as the context
+// allows. Finally the host writes the pending outcomes of their claims, gives
+// up its leadership and ends.
 //
-// Drain does the first half by itself, for an operator who wants to see the host
-// empty before its process ends; Resume takes that back.
+// Drain does only the first half, for an operator who wants the host to be idle
+// before its process ends; Resume reverts it.
 package host
 
 import (
@@ -41,7 +48,7 @@
 	"cicadaloom/internal/traffic/dispatch"
 )
 
-// Host is a running entry host with the addresses that it listens at.
+// Host is a running entry host, with the addresses at which it listens.
 type Host struct {
 	Callers   string
 	Operators string
@@ -58,31 +65,33 @@
 	plains    *plain.Client
 	drain     drain
 	lameDuck  time.Duration
-	// patience is how long a stop waits for the claims' last writes.
-	patience time.Duration
+	// settleTimeout limits how long a stop waits for the last writes to claims.
+	settleTimeout time.Duration
 }
 
-// settlePatience bounds that wait. What can't be written by then, since the
-// key-value service is down, is lost, and the keys say "may have run" for as long
-// as they are kept: true, and no reason to hold up a stop for the whole outage.
-const settlePatience = 15 * time.Second
+// defaultSettleTimeout is the value of Host.settleTimeout. What can't be
+// written by then, because the key-value service is down, is lost, and the keys
+// say "may have run" for as long as they are kept. That is correct, and no
+// reason to delay a stop for the whole outage.
+const defaultSettleTimeout = 15 * time.Second
 
-func (h *Host) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, h.patience)
+func (h *Host) settleClaims(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, h.settleTimeout)
 	defer cancel()
 	return h.control.Settle(ctx)
 }
 
-// Start starts an entry host. It does not wait for the platform: a host that
-// starts in an outage learns what it needs from its peers.
+// Start starts an entry host. It does not wait for the key-value service: a
+// host that starts during an outage gets the state that it needs from its
+// peers.
 func Start(loaded settings.Settings, log *zap.Logger) (*Host, error) {
 	h := &Host{
-		metrics:   metrics.NewSet(),
-		decisions: decisions.NewLog(loaded.Host.Name),
-		patience:  settlePatience,
-		lameDuck:  loaded.Callers.LameDuck,
-		engines:   &engine.Client{},
-		plains:    &plain.Client{},
+		metrics:       metrics.NewSet(),
+		decisions:     decisions.NewLog(loaded.Host.Name),
+		settleTimeout: defaultSettleTimeout,
+		lameDuck:      loaded.Callers.LameDuck,
+		engines:       &engine.Client{},
+		plains:        &plain.Client{},
 	}
 	if err := h.start(loaded, log); err != nil {
 		_ = h.Stop(context.Background())
@@ -121,13 +130,13 @@
 	return h.listen(loaded, log)
 }
 
-// listen opens the sides that callers and operators see.
+// listen starts the servers for callers and operators.
 func (h *Host) listen(loaded settings.Settings, log *zap.Logger) error {
-	certificates, err := certificatesOf(loaded.TLS)
+	certificates, err := newTLSConfig(loaded.TLS)
 	if err != nil {
 		return err
 	}
-	dispatcher, err := h.dispatcher(loaded, log)
+	dispatcher, err := h.newDispatcher(loaded, log)
 	if err != nil {
 		return err
 	}
@@ -160,7 +169,7 @@
 	return nil
 }
 
-func (h *Host) dispatcher(loaded settings.Settings, log *zap.Logger) (*dispatch.Dispatcher, error) {
+func (h *Host) newDispatcher(loaded settings.Settings, log *zap.Logger) (*dispatch.Dispatcher, error) {
 	policy, err := routing.NewPolicy(string(loaded.Policy.Routing))
 	if err != nil {
 		return nil, err
@@ -186,8 +195,9 @@
 	}, nil
 }
 
-// certificatesOf gives the TLS settings of callers and operators, nil for none.
-func certificatesOf(files settings.TLS) (*tls.Config, error) {
+// newTLSConfig returns the TLS configuration for callers and operators, or nil
+// if there is none.
+func newTLSConfig(files settings.TLS) (*tls.Config, error) {
 	if files.CertificateFile == "" {
 		return nil, nil
 	}
@@ -197,40 +207,40 @@
 	}
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
-		GetCertificate: certificates.get,
+		GetCertificate: certificates.getCertificate,
 	}, nil
 }
 
-// Stop stops the host. An error says what could not be ended in order; the
-// host has ended all the same.
+// Stop stops the host. It returns the first error of an incomplete step; the
+// host has stopped all the same.
 func (h *Host) Stop(ctx context.Context) error {
-	var first error
-	keep := func(err error) {
-		if first == nil {
-			first = err
+	var firstErr error
+	record := func(err error) {
+		if firstErr == nil {
+			firstErr = err
 		}
 	}
-	h.leave(ctx)
-	h.end()
+	h.announceStop(ctx)
+	h.drainForStop()
 	if h.callers != nil {
-		keep(errors.Wrap(h.callers.Stop(ctx), "callers"))
+		record(errors.Wrap(h.callers.Stop(ctx), "callers"))
 	}
 	if h.control != nil {
-		keep(errors.Wrap(h.settle(ctx), "claims"))
+		record(errors.Wrap(h.settleClaims(ctx), "claims"))
 	}
 	if h.operators != nil {
-		keep(errors.Wrap(h.operators.Stop(ctx), "operators"))
+		record(errors.Wrap(h.operators.Stop(ctx), "operators"))
 	}
 	if h.peers != nil {
-		keep(errors.Wrap(h.peers.Stop(), "peers"))
+		record(errors.Wrap(h.peers.Stop(), "peers"))
 	}
 	if h.control != nil {
-		keep(errors.Wrap(h.control.Stop(), "control"))
+		record(errors.Wrap(h.control.Stop(), "control"))
 	}
 	h.engines.Close()
 	h.plains.Close()
 	if h.keyValue != nil {
-		keep(h.keyValue.Close())
+		record(h.keyValue.Close())
 	}
-	return first
+	return firstErr
 }
--- a/internal/traffic/host/whole_test.go
+++ b/internal/traffic/host/long_answer_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller asks for a long answer in one piece. Its engine works on it without
-// a word for longer than a first token may take: that is no hang, and the
-// answer must come rather than be given up and tried elsewhere.
-func TestLongWholeAnswerIsNoHang(t *testing.T) {
+// A caller requests a long answer that is not streamed. Its engine sends
+// nothing for longer than a first token may take. The attempt must not be ended
+// as hanging and tried on another server.
+func TestLongUnstreamedAnswerIsNotTimedOut(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.put("testdata/patient.json", 2)
+	f.putDocument("testdata/patient.json", 2)
 	client := openai.NewClient(option.WithBaseURL("http://"+f.hosts[0].Callers+"/v1"), option.WithAPIKey("unused"), option.WithMaxRetries(0))
 	for _, bounded := range []bool{true, false} {
 		question := openai.ChatCompletionNewParams{
--- a/internal/traffic/host/openai_test.go
+++ b/internal/traffic/host/openai_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The callers' official client works against an entry host unchanged: whole,
-// streamed, the list of models, and the errors it reads.
+// The official OpenAI client works against an entry host without changes: with
+// streamed and other answers, the list of models, and errors.
 func TestOfficialClient(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	f.put("testdata/kerlouan.json", 2)
+	f.putDocument("testdata/kerlouan.json", 2)
 	client := openai.NewClient(option.WithBaseURL("http://"+f.hosts[1].Callers+"/v1"), option.WithAPIKey("unused"))
 	question := openai.ChatCompletionNewParams{
 		Model:     "briefing",
--- a/internal/traffic/host/plain_test.go
+++ b/internal/traffic/host/plain_test.go
@@ -14,10 +14,11 @@
 	"cicadaloom/internal/standin/hostlist"
 )
 
-// A plain service sees a request as its caller sent it, and the caller sees the
-// service's answer: methods, escaped paths, queries, headers both ways and
-// statuses. What is meant for this host or for one connection stays behind.
-func TestPlainServiceSeesTheRequestAsItCame(t *testing.T) {
+// A plain service receives a request as its caller sent it, and the caller gets
+// the service's answer: methods, escaped paths, queries, headers in both
+// directions and statuses. Headers for this host or for one connection are
+// removed.
+func TestPlainServiceReceivesUnchangedRequest(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/control/report" {
@@ -42,7 +43,7 @@
 		Region:     "finistere",
 		Service:    "boat-desk",
 	}))
-	f.put("testdata/desk.json", 0)
+	f.putDocument("testdata/desk.json", 0)
 	url := "http://" + f.hosts[0].Callers + "/services/boat%2Ddesk/boats%2F7/x?urgent=yes%20please"
 	var answer *http.Response
 	require.Eventually(t, func() bool {
@@ -57,7 +58,7 @@
 		require.NoError(t, err)
 		defer answer.Body.Close()
 		return answer.StatusCode == http.StatusCreated
-	}, waitMost, waitEvery)
+	}, waitTimeout, pollInterval)
 	require.Equal(t, "/boats/7", answer.Header.Get("Location"))
 	require.Equal(t, []string{"a=1", "b=2"}, answer.Header.Values("Set-Cookie"))
 	request := <-seen
