--- a/internal/control/placement/placement.go
+++ b/internal/control/placement/placement.go
@@ -174,8 +174,8 @@
 	// For is the model for which another model's weights are moved; empty where
 	// the move is for the moved model itself.
 	For ident.ModelName
-	// Have and Want count the present and the wanted replicas of the model that
-	// the move is for, before the move.
+	// Before the move, the model that it is for has Have replicas, and Want are
+	// wanted. The names of these fields appear in logs.
 	Have int
 	Want int
 	// Benefit and Cost are the weighed amounts, in shares of one replica's work
