--- a/internal/control/placement/demand.go
+++ b/internal/control/placement/demand.go
@@ -30,11 +30,14 @@
 
 // scaleUp is one more replica that the demand of a region calls for.
 type scaleUp struct {
-	model    *modelState
-	region   ident.Region
-	rate     *Rate
+	model  *modelState
+	region ident.Region
+	rate   *Rate
+	// replicas counts the present ones in the region.
 	replicas int
-	benefit  float64
+	// benefit is the rate of requests that the replica would serve in time and
+	// that would be late without it.
+	benefit float64
 }
 
 type regionModel struct {
@@ -146,8 +149,8 @@
 // replica serves in time over Settings.Horizon. Nothing is served while the
 // weights load.
 func (p *planner) relativeBenefit(rate *Rate, benefit float64) float64 {
-	lasting := 1 - p.settings.LoadTime.Seconds()/p.settings.Horizon.Seconds()
-	return benefit / (maxTimelyUtilization * p.replicaRate(rate)) * lasting
+	servingShare := 1 - p.settings.LoadTime.Seconds()/p.settings.Horizon.Seconds()
+	return benefit / (maxTimelyUtilization * p.replicaRate(rate)) * servingShare
 }
 
 // requiredBenefit returns the relative benefit that the given number of moves
--- a/internal/control/placement/placement_test.go
+++ b/internal/control/placement/placement_test.go
@@ -245,17 +245,17 @@
 func TestAlternatingDemandLimitsMoves(t *testing.T) {
 	for _, test := range []struct {
 		high, low float64
-		most      int
+		maxMoves  int
 	}{
 		{
-			high: 7,
-			low:  5,
-			most: 1,
+			high:     7,
+			low:      5,
+			maxMoves: 1,
 		},
 		{
-			high: 20,
-			low:  2,
-			most: 1 + 2*1000/120,
+			high:     20,
+			low:      2,
+			maxMoves: 1 + 2*1000/120,
 		},
 	} {
 		f := newFleet(3, 50, newModel("a", "1", 40, 1, 2), newModel("b", "1", 40, 1, 2))
@@ -277,7 +277,7 @@
 			}
 			f.planAndApply(Settings{}, unlimited)
 		}
-		require.LessOrEqual(t, f.moves[ReasonDemand], test.most)
+		require.LessOrEqual(t, f.moves[ReasonDemand], test.maxMoves)
 	}
 }
 
--- a/internal/traffic/dispatch/chat.go
+++ b/internal/traffic/dispatch/chat.go
@@ -140,7 +140,7 @@
 		switch e := event.(type) {
 		case engine.Chunk:
 			h.linkTransfer.CountReceived(h.Now(), unit.Bytes(len(e.Raw)))
-			err = h.forwardChunk(e)
+			err = h.chunk(e)
 			dog.reset(h.streamStallTimeout())
 		case engine.Whole:
 			h.linkTransfer.CountReceived(h.Now(), unit.Bytes(len(e.Raw)))
@@ -160,17 +160,17 @@
 	}
 }
 
-func (h *chatHandler) forwardChunk(forwardChunk engine.Chunk) error {
+func (h *chatHandler) chunk(chunk engine.Chunk) error {
 	if !h.streamStarted {
 		h.streamStarted = true
 		h.sink.Begin()
 	}
-	if forwardChunk.First {
+	if chunk.First {
 		h.recordFirstToken()
 	}
-	h.tokensSent = forwardChunk.Tokens
-	h.recordEvent(string(forwardChunk.Raw))
-	if err := h.sink.Chunk(forwardChunk.Raw); err != nil {
+	h.tokensSent = chunk.Tokens
+	h.recordEvent(string(chunk.Raw))
+	if err := h.sink.Chunk(chunk.Raw); err != nil {
 		return errors.Wrap(context.Canceled, err.Error())
 	}
 	return nil
--- a/internal/traffic/dispatch/harmless.go
+++ b/internal/traffic/dispatch/harmless.go
@@ -17,12 +17,12 @@
 	cells [harmlessCells]atomic.Uint64
 }
 
-func (p *harmlessContents) has(fingerprint ident.Fingerprint) bool {
-	return p.cells[fingerprint%harmlessCells].Load() == uint64(fingerprint)
+func (c *harmlessContents) has(fingerprint ident.Fingerprint) bool {
+	return c.cells[fingerprint%harmlessCells].Load() == uint64(fingerprint)
 }
 
-func (p *harmlessContents) add(fingerprint ident.Fingerprint) {
-	p.cells[fingerprint%harmlessCells].Store(uint64(fingerprint))
+func (c *harmlessContents) add(fingerprint ident.Fingerprint) {
+	c.cells[fingerprint%harmlessCells].Store(uint64(fingerprint))
 }
 
 // When a server has crashed, hosts inform each other within milliseconds, and
@@ -39,10 +39,10 @@
 	lastAt atomic.Int64 // Unix nanoseconds
 }
 
-func (d *crashNotice) record(now time.Time) {
-	d.lastAt.Store(now.UnixNano())
+func (n *crashNotice) record(now time.Time) {
+	n.lastAt.Store(now.UnixNano())
 }
 
-func (d *crashNotice) isRecent(now time.Time) bool {
-	return now.Sub(time.Unix(0, d.lastAt.Load())) < recentCrashWindow
+func (n *crashNotice) isRecent(now time.Time) bool {
+	return now.Sub(time.Unix(0, n.lastAt.Load())) < recentCrashWindow
 }
--- a/internal/traffic/dispatch/link.go
+++ b/internal/traffic/dispatch/link.go
@@ -102,25 +102,25 @@
 
 // CountReceived counts a part of the answer. What exceeds the charged size is
 // charged as it arrives.
-func (c *LinkTransfer) CountReceived(now time.Time, amount unit.Bytes) {
-	if c.limiter == nil {
+func (t *LinkTransfer) CountReceived(now time.Time, amount unit.Bytes) {
+	if t.limiter == nil {
 		return
 	}
-	c.received += amount + chunkOverhead
-	if excess := c.received - c.charged; excess > 0 {
-		c.limiter.in.add(now, excess, c.bytesPerSecond)
-		c.charged = c.received
+	t.received += amount + chunkOverhead
+	if excess := t.received - t.charged; excess > 0 {
+		t.limiter.in.add(now, excess, t.bytesPerSecond)
+		t.charged = t.received
 	}
 }
 
 // Finish corrects the charge to the actual size of the answer. A second call
 // has no effect.
-func (c *LinkTransfer) Finish(now time.Time) {
-	if c.limiter == nil {
+func (t *LinkTransfer) Finish(now time.Time) {
+	if t.limiter == nil {
 		return
 	}
-	c.limiter.in.add(now, c.received-c.charged, c.bytesPerSecond)
-	average := c.limiter.averageAnswerSize()
-	c.limiter.averageAnswer.Store(int64(average + (c.received-average)/answerSizeSmoothing))
-	c.limiter = nil
+	t.limiter.in.add(now, t.received-t.charged, t.bytesPerSecond)
+	average := t.limiter.averageAnswerSize()
+	t.limiter.averageAnswer.Store(int64(average + (t.received-average)/answerSizeSmoothing))
+	t.limiter = nil
 }
--- a/internal/traffic/dispatch/link_test.go
+++ b/internal/traffic/dispatch/link_test.go
@@ -26,8 +26,8 @@
 		links[i].Budget = budget
 	}
 	type transfer struct {
-		crossing *LinkTransfer
-		left     int
+		linkTransfer *LinkTransfer
+		chunksLeft   int
 	}
 	var transfers []transfer
 	var sent, received unit.Bytes
@@ -37,30 +37,30 @@
 		link := &links[random.IntN(hosts)]
 		if free, isAllowed := link.AvailableAt(now); isAllowed && !free.After(now) {
 			request := unit.Bytes(200 + random.IntN(2000))
-			crossing := link.StartTransfer(now, request, hosts)
+			linkTransfer := link.StartTransfer(now, request, hosts)
 			sent += request + messageOverhead
 			received += messageOverhead
 			started++
 			transfers = append(transfers, transfer{
-				crossing: &crossing,
-				left:     1 + random.IntN(2*int(answers/(10*time.Millisecond))),
+				linkTransfer: &linkTransfer,
+				chunksLeft:   1 + random.IntN(2*int(answers/(10*time.Millisecond))),
 			})
 		}
 		remaining := transfers[:0]
-		for _, g := range transfers {
+		for _, current := range transfers {
 			chunk := unit.Bytes(100 + random.IntN(500))
-			g.crossing.CountReceived(now, chunk)
+			current.linkTransfer.CountReceived(now, chunk)
 			received += chunk + chunkOverhead
-			if g.left--; g.left > 0 {
-				remaining = append(remaining, g)
+			if current.chunksLeft--; current.chunksLeft > 0 {
+				remaining = append(remaining, current)
 			} else {
-				g.crossing.Finish(now)
+				current.linkTransfer.Finish(now)
 			}
 		}
 		transfers = remaining
 	}
 	limit := unit.Bytes((length + 2*maxLinkBacklog).Seconds()) * budget
-	t.Logf("%d crossed, sent %v, received %v, most %v", started, sent, received, limit)
+	t.Logf("%d transfers, sent %v, received %v, limit %v", started, sent, received, limit)
 	require.LessOrEqual(t, sent, limit)
 	require.LessOrEqual(t, received, limit)
 	require.Greater(t, received, limit*8/10, "the budget must be used")
@@ -85,7 +85,7 @@
 	limiter.StartTransfer(now, 50*unit.Kibibyte-messageOverhead, 1)
 	free, isAllowed := limiter.AvailableAt(now)
 	require.True(t, isAllowed)
-	require.Equal(t, 4*time.Second, free.Sub(now), "5 s of traffic less the window")
+	require.Equal(t, 4*time.Second, free.Sub(now), "5 s of traffic less the allowed backlog")
 	limiter = LinkLimiter{
 		Budget: 10 * unit.Kibibyte,
 	}
@@ -96,5 +96,5 @@
 	transfer = limiter.StartTransfer(now, unit.Kibibyte, 1)
 	transfer.CountReceived(now, 40*unit.Kibibyte)
 	free, _ = limiter.AvailableAt(now)
-	require.Greater(t, free.Sub(now), 2*time.Second, "an answer is charged as it comes")
+	require.Greater(t, free.Sub(now), 2*time.Second, "an answer is charged as it arrives")
 }
--- a/internal/traffic/dispatch/records.go
+++ b/internal/traffic/dispatch/records.go
@@ -32,14 +32,14 @@
 
 // fields returns the log fields of every line about a request. The logger
 // itself adds host and data centre.
-func (a *RequestInfo) fields(more ...zap.Field) []zap.Field {
-	fields := []zap.Field{zap.String("RequestID", string(a.Request))}
+func (i *RequestInfo) fields(more ...zap.Field) []zap.Field {
+	fields := []zap.Field{zap.String("RequestID", string(i.Request))}
 	for _, field := range []struct{ name, value string }{
-		{"AttemptID", string(a.Attempt)},
-		{"Caller", string(a.Caller)},
-		{"Team", string(a.Team)},
-		{"Class", string(a.Class)},
-		{"Target", a.Target},
+		{"AttemptID", string(i.Attempt)},
+		{"Caller", string(i.Caller)},
+		{"Team", string(i.Team)},
+		{"Class", string(i.Class)},
+		{"Target", i.Target},
 	} {
 		if field.value != "" {
 			fields = append(fields, zap.String(field.name, field.value))
--- a/internal/traffic/dispatch/watchdog.go
+++ b/internal/traffic/dispatch/watchdog.go
@@ -35,15 +35,15 @@
 // startWatchdog starts a watchdog with the timeout for the first response; with
 // zero, only the deadline ends the attempt.
 func (h *requestHandler) startWatchdog(ctx context.Context, timeout time.Duration) (context.Context, *watchdog) {
-	watched, cancel := context.WithCancelCause(ctx)
+	watchedCtx, cancel := context.WithCancelCause(ctx)
 	dog := &watchdog{
-		ctx:    watched,
+		ctx:    watchedCtx,
 		cancel: cancel,
 	}
 	if h.mayRepeat && timeout > 0 {
 		dog.timer = time.AfterFunc(timeout, func() { cancel(errStalled) })
 	}
-	return watched, dog
+	return watchedCtx, dog
 }
 
 // firstResponseTimeout returns how long a backend server may take to send
--- a/internal/traffic/host/host.go
+++ b/internal/traffic/host/host.go
@@ -54,17 +54,17 @@
 	Operators string
 	Peers     string
 
-	metrics   *metrics.Set
-	decisions *decisions.Log
-	keyValue  *etcd.Client
-	control   *loop.Loop
-	callers   *caller.Server
-	operators *operator.Server
-	peers     *entryhost.Server
-	engines   *engine.Client
-	plains    *plain.Client
-	drain     drain
-	lameDuck  time.Duration
+	metrics       *metrics.Set
+	decisions     *decisions.Log
+	keyValue      *etcd.Client
+	control       *loop.Loop
+	callers       *caller.Server
+	operators     *operator.Server
+	peers         *entryhost.Server
+	engines       *engine.Client
+	plainServices *plain.Client
+	drain         drain
+	lameDuck      time.Duration
 	// settleTimeout limits how long a stop waits for the last writes to claims.
 	settleTimeout time.Duration
 }
@@ -91,7 +91,7 @@
 		settleTimeout: defaultSettleTimeout,
 		lameDuck:      loaded.Callers.LameDuck,
 		engines:       &engine.Client{},
-		plains:        &plain.Client{},
+		plainServices: &plain.Client{},
 	}
 	if err := h.start(loaded, log); err != nil {
 		_ = h.Stop(context.Background())
@@ -179,7 +179,7 @@
 		Claims:        h.control,
 		Reporter:      h.control,
 		Engines:       h.engines,
-		PlainServices: h.plains,
+		PlainServices: h.plainServices,
 		Policy:        policy,
 		RetryBudget:   dispatch.NewRetryBudget(loaded.Policy.RetryBudgetPercent),
 		LinkLimiter: &dispatch.LinkLimiter{
@@ -238,7 +238,7 @@
 		record(errors.Wrap(h.control.Stop(), "control"))
 	}
 	h.engines.Close()
-	h.plains.Close()
+	h.plainServices.Close()
 	if h.keyValue != nil {
 		record(h.keyValue.Close())
 	}
