--- a/internal/traffic/dispatch/request.go
+++ b/internal/traffic/dispatch/request.go
@@ -59,12 +59,12 @@
 
 // Sink passes the answer to the caller.
 type Sink interface {
-	// Begin is called once before the first chunk of a stream.
+	// Called once, before the first chunk of a stream.
 	Begin()
-	// Chunk sends one event of a stream. An error means that the caller
+	// Sends one event of a stream. An error means that the caller
 	// disconnected.
 	Chunk(data []byte) error
-	// Whole sends an answer that is not a stream.
+	// Sends an answer that is not a stream.
 	Whole(answer Whole) error
 }
 
