--- a/internal/peer/entryhost/claims.go
+++ b/internal/peer/entryhost/claims.go
@@ -6,8 +6,9 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// verdicts maps the wire's verdicts to ours. A verdict of a later version is
-// not in it and reads as unknown, which forbids sending.
+// verdicts maps the verdicts on the wire to those of package claims. A verdict that a
+// later version sends is missing here and decodes to claims.Unknown, which forbids
+// sending the request.
 var verdicts = map[entryhostpb.ClaimResponse_Verdict]claims.Verdict{
 	entryhostpb.ClaimResponse_UNKNOWN:          claims.Unknown,
 	entryhostpb.ClaimResponse_GRANTED:          claims.Granted,
@@ -17,7 +18,8 @@
 	entryhostpb.ClaimResponse_KEY_REUSED:       claims.KeyReused,
 }
 
-// proofs maps the wire's proofs to ours; an unknown one proves nothing.
+// proofs maps the proofs on the wire to those of package claims; an unknown one decodes
+// to claims.ProofNone.
 var proofs = map[entryhostpb.ClaimResponse_Proof]claims.Proof{
 	entryhostpb.ClaimResponse_NONE:    claims.ProofNone,
 	entryhostpb.ClaimResponse_ATTEMPT: claims.ProofAttempt,
@@ -30,8 +32,8 @@
 		Key:               string(claim.Key),
 		Attempt:           string(claim.Attempt),
 		Fingerprint:       uint64(claim.Fingerprint),
-		DeadlineUnixNano:  nanos(claim.Deadline),
-		KeepUntilUnixNano: nanos(claim.KeepUntil),
+		DeadlineUnixNano:  unixNano(claim.Deadline),
+		KeepUntilUnixNano: unixNano(claim.KeepUntil),
 		Origin:            string(claim.Origin),
 	}
 }
@@ -42,8 +44,8 @@
 		Key:         ident.IdempotencyKey(wire.GetKey()),
 		Attempt:     ident.AttemptID(wire.GetAttempt()),
 		Fingerprint: ident.Fingerprint(wire.GetFingerprint()),
-		Deadline:    instant(wire.GetDeadlineUnixNano()),
-		KeepUntil:   instant(wire.GetKeepUntilUnixNano()),
+		Deadline:    timeFromUnixNano(wire.GetDeadlineUnixNano()),
+		KeepUntil:   timeFromUnixNano(wire.GetKeepUntilUnixNano()),
 		Origin:      ident.HostID(wire.GetOrigin()),
 	}
 }
@@ -55,23 +57,24 @@
 		Whole:           answer.Whole,
 		Body:            answer.Body,
 		Digest:          answer.Digest,
-		RetryAtUnixNano: nanos(answer.RetryAt),
+		RetryAtUnixNano: unixNano(answer.RetryAt),
 		Reason:          answer.Reason,
 	}
-	for theirs, ours := range verdicts {
-		if ours == answer.Verdict {
-			wire.Verdict = theirs
+	for wireValue, value := range verdicts {
+		if value == answer.Verdict {
+			wire.Verdict = wireValue
 		}
 	}
-	for theirs, ours := range proofs {
-		if ours == answer.Proof {
-			wire.Proof = theirs
+	for wireValue, value := range proofs {
+		if value == answer.Proof {
+			wire.Proof = wireValue
 		}
 	}
 	return wire
 }
 
-// decodeAnswer takes the claim as well: the answer belongs to it.
+// decodeAnswer takes the claim as well, since the response does not repeat what it
+// answers.
 func decodeAnswer(claim claims.Claim, wire *entryhostpb.ClaimResponse) claims.Answer {
 	return claims.Answer{
 		Team:        claim.Team,
@@ -85,7 +88,7 @@
 		Whole:       wire.GetWhole(),
 		Body:        wire.GetBody(),
 		Digest:      wire.GetDigest(),
-		RetryAt:     instant(wire.GetRetryAtUnixNano()),
+		RetryAt:     timeFromUnixNano(wire.GetRetryAtUnixNano()),
 		Reason:      wire.GetReason(),
 	}
 }
--- a/internal/peer/entryhost/client.go
+++ b/internal/peer/entryhost/client.go
@@ -11,13 +11,13 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// Pool calls peers, over one connection to each. The zero value works; it is safe
-// for many goroutines.
+// Pool calls the entry host service of peers, with one connection to each peer. The
+// zero value is ready to use; it is safe for concurrent use.
 type Pool struct {
 	grpcpeer.Pool
 }
 
-// Peer gives a client of the entry host at an address ("ip:port").
+// Peer returns a client of the entry host at an address ("ip:port").
 func (p *Pool) Peer(address string) (entryhostpb.EntryHostClient, error) {
 	connection, err := p.Connection(address)
 	if err != nil {
@@ -26,20 +26,20 @@
 	return entryhostpb.NewEntryHostClient(connection), nil
 }
 
-// Exchange tells a peer what this host knows and gives what the peer knows.
-func (p *Pool) Exchange(ctx context.Context, address string, knowledge Knowledge) (Knowledge, error) {
+// Exchange sends this host's message to a peer and returns the peer's.
+func (p *Pool) Exchange(ctx context.Context, address string, message Knowledge) (Knowledge, error) {
 	peer, err := p.Peer(address)
 	if err != nil {
 		return Knowledge{}, err
 	}
-	answer, err := peer.Exchange(ctx, encodeKnowledge(knowledge))
+	answer, err := peer.Exchange(ctx, encodeMessage(message))
 	if err != nil {
 		return Knowledge{}, errors.Wrapf(err, "exchange with %s", address)
 	}
-	return decodeKnowledge(answer), nil
+	return decodeMessage(answer), nil
 }
 
-// Burn asks a peer for its own counts.
+// Burn fetches a peer's own request counts.
 func (p *Pool) Burn(ctx context.Context, address string) (Counts, error) {
 	peer, err := p.Peer(address)
 	if err != nil {
@@ -52,17 +52,17 @@
 	return decodeCounts(answer), nil
 }
 
-// Demand tells the leader of the placement what callers ask for.
-func (p *Pool) Demand(ctx context.Context, address string, told demand.Told) error {
+// Demand sends the request rates of this host to the leader of the placement.
+func (p *Pool) Demand(ctx context.Context, address string, rates demand.Told) error {
 	peer, err := p.Peer(address)
 	if err != nil {
 		return err
 	}
-	_, err = peer.Demand(ctx, encodeDemand(told))
+	_, err = peer.Demand(ctx, encodeDemand(rates))
 	return errors.Wrapf(err, "demand to %s", address)
 }
 
-// Claim asks the home of a claim's partition to carry it out.
+// Claim sends a claim to the owner of its partition and returns the owner's answer.
 func (p *Pool) Claim(ctx context.Context, address string, claim claims.Claim) (claims.Answer, error) {
 	peer, err := p.Peer(address)
 	if err != nil {
@@ -75,7 +75,8 @@
 	return decodeAnswer(claim, answer), nil
 }
 
-// Finish tells the home of a claim's partition that its request was run.
+// Finish reports to the owner of the partition that the claimed request was run. The
+// result says whether the owner recorded it.
 func (p *Pool) Finish(ctx context.Context, address string, finish claims.Finish) (bool, error) {
 	peer, err := p.Peer(address)
 	if err != nil {
@@ -88,8 +89,8 @@
 	return answer.GetRecorded(), nil
 }
 
-// Release tells the home of a claim's partition that its request provably was
-// not run.
+// Release reports to the owner of the partition that the claimed request was provably
+// not run. The result says whether the owner recorded it.
 func (p *Pool) Release(ctx context.Context, address string, release claims.Release) (bool, error) {
 	peer, err := p.Peer(address)
 	if err != nil {
--- a/internal/peer/entryhost/codec.go
+++ b/internal/peer/entryhost/codec.go
@@ -13,34 +13,35 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// nanos gives an instant's wire form; the zero instant is 0.
-func nanos(t time.Time) int64 {
+// unixNano returns Unix nanoseconds; the zero time is 0.
+func unixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixNano()
 }
 
-func instant(nanos int64) time.Time {
+// timeFromUnixNano is the inverse of unixNano.
+func timeFromUnixNano(nanos int64) time.Time {
 	if nanos == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, nanos)
 }
 
-func encodeKnowledge(k Knowledge) *entryhostpb.Knowledge {
+func encodeMessage(k Knowledge) *entryhostpb.Knowledge {
 	wire := &entryhostpb.Knowledge{
 		Since:    int64(k.Documents.Since),
 		Complete: int64(k.Documents.Complete),
-		Told:     encodeMarks(k.Told),
-		From:     encodeMarks(k.From),
-		Have:     encodeMarks(k.Have),
+		Told:     encodeCursors(k.Told),
+		From:     encodeCursors(k.From),
+		Have:     encodeCursors(k.Have),
 
 		WantsReports: k.WantsReports,
 		AllReports:   k.AllReports,
 		More:         k.More,
 	}
-	encodeBeats(wire, &k)
+	encodeHeartbeats(wire, &k)
 	encodeReports(wire, &k.Reports)
 	for i := range k.Peers {
 		wire.Peers = append(wire.Peers, encodePeer(&k.Peers[i]))
@@ -70,16 +71,16 @@
 	return wire
 }
 
-func decodeKnowledge(wire *entryhostpb.Knowledge) Knowledge {
+func decodeMessage(wire *entryhostpb.Knowledge) Knowledge {
 	k := Knowledge{
 		Documents: documents.Word{
 			Since:    ident.Revision(wire.GetSince()),
 			Complete: ident.Revision(wire.GetComplete()),
 		},
 		Loads: make(map[ident.ServerName]int64, len(wire.GetLoads())),
-		Told:  decodeMarks(wire.GetTold()),
-		From:  decodeMarks(wire.GetFrom()),
-		Have:  decodeMarks(wire.GetHave()),
+		Told:  decodeCursors(wire.GetTold()),
+		From:  decodeCursors(wire.GetFrom()),
+		Have:  decodeCursors(wire.GetHave()),
 
 		WantsReports: wire.GetWantsReports(),
 		AllReports:   wire.GetAllReports(),
@@ -89,7 +90,7 @@
 	for _, peer := range wire.GetPeers() {
 		k.Peers = append(k.Peers, decodePeer(peer))
 	}
-	k.Beats = decodeBeats(wire, k.Sender())
+	k.Beats = decodeHeartbeats(wire, k.Sender())
 	for _, document := range wire.GetDocuments() {
 		k.Documents.Documents = append(k.Documents.Documents, documents.PeerDocument{
 			Team:     ident.TeamName(document.GetTeam()),
@@ -112,15 +113,15 @@
 	return k
 }
 
-func encodeMarks(marks Marks) *entryhostpb.Marks {
+func encodeCursors(cursors Marks) *entryhostpb.Marks {
 	return &entryhostpb.Marks{
-		Epoch:   marks.Epoch,
-		Peers:   marks.Peers,
-		Reports: marks.Reports,
+		Epoch:   cursors.Epoch,
+		Peers:   cursors.Peers,
+		Reports: cursors.Reports,
 	}
 }
 
-func decodeMarks(wire *entryhostpb.Marks) Marks {
+func decodeCursors(wire *entryhostpb.Marks) Marks {
 	return Marks{
 		Epoch:   wire.GetEpoch(),
 		Peers:   wire.GetPeers(),
@@ -128,28 +129,28 @@
 	}
 }
 
-// encodeBeats tells beats by their distance from the sender's: most are a few
-// seconds behind, and go in two or three bytes.
-func encodeBeats(wire *entryhostpb.Knowledge, k *Knowledge) {
+// encodeHeartbeats encodes heartbeats as distances from the sender's own: most are a
+// few seconds behind, and take two or three bytes as varints.
+func encodeHeartbeats(wire *entryhostpb.Knowledge, k *Knowledge) {
 	sender := k.Sender()
-	for _, beat := range k.Beats {
-		wire.BeatHosts = append(wire.BeatHosts, beat.Host)
-		wire.BeatBehind = append(wire.BeatBehind, int64(sender.Beat-beat.Beat))
-		wire.BeatDocumentsBehind = append(wire.BeatDocumentsBehind, int64(sender.Documents-beat.Documents))
+	for _, heartbeat := range k.Beats {
+		wire.BeatHosts = append(wire.BeatHosts, heartbeat.Host)
+		wire.BeatBehind = append(wire.BeatBehind, int64(sender.Beat-heartbeat.Beat))
+		wire.BeatDocumentsBehind = append(wire.BeatDocumentsBehind, int64(sender.Documents-heartbeat.Documents))
 	}
 }
 
-func decodeBeats(wire *entryhostpb.Knowledge, sender membership.Peer) []membership.Beat {
+func decodeHeartbeats(wire *entryhostpb.Knowledge, sender membership.Peer) []membership.Beat {
 	count := min(len(wire.GetBeatHosts()), len(wire.GetBeatBehind()), len(wire.GetBeatDocumentsBehind()))
-	var beats []membership.Beat
+	var heartbeats []membership.Beat
 	for i := range count {
-		beats = append(beats, membership.Beat{
+		heartbeats = append(heartbeats, membership.Beat{
 			Host:      wire.GetBeatHosts()[i],
 			Beat:      sender.Beat - uint64(wire.GetBeatBehind()[i]),
 			Documents: sender.Documents - ident.Revision(wire.GetBeatDocumentsBehind()[i]),
 		})
 	}
-	return beats
+	return heartbeats
 }
 
 func encodePeer(peer *membership.Peer) *entryhostpb.Peer {
@@ -181,12 +182,12 @@
 func encodeSuspect(suspect *suspects.Suspect) *entryhostpb.Suspect {
 	wire := &entryhostpb.Suspect{
 		Fingerprint:       uint64(suspect.Fingerprint),
-		KeepUntilUnixNano: nanos(suspect.KeepUntil),
+		KeepUntilUnixNano: unixNano(suspect.KeepUntil),
 	}
-	for _, life := range suspect.Deaths {
+	for _, crash := range suspect.Deaths {
 		wire.Deaths = append(wire.Deaths, &entryhostpb.Life{
-			Server:      string(life.Server),
-			Incarnation: string(life.Incarnation),
+			Server:      string(crash.Server),
+			Incarnation: string(crash.Incarnation),
 		})
 	}
 	return wire
@@ -195,23 +196,23 @@
 func decodeSuspect(wire *entryhostpb.Suspect) suspects.Suspect {
 	suspect := suspects.Suspect{
 		Fingerprint: ident.Fingerprint(wire.GetFingerprint()),
-		KeepUntil:   instant(wire.GetKeepUntilUnixNano()),
+		KeepUntil:   timeFromUnixNano(wire.GetKeepUntilUnixNano()),
 	}
-	for _, life := range wire.GetDeaths() {
+	for _, crash := range wire.GetDeaths() {
 		suspect.Deaths = append(suspect.Deaths, suspects.Life{
-			Server:      ident.ServerName(life.GetServer()),
-			Incarnation: ident.Incarnation(life.GetIncarnation()),
+			Server:      ident.ServerName(crash.GetServer()),
+			Incarnation: ident.Incarnation(crash.GetIncarnation()),
 		})
 	}
 	return suspect
 }
 
-func encodeDemand(told demand.Told) *entryhostpb.DemandRequest {
+func encodeDemand(rates demand.Told) *entryhostpb.DemandRequest {
 	wire := &entryhostpb.DemandRequest{
-		Host:       string(told.Host),
-		DataCentre: string(told.DataCentre),
+		Host:       string(rates.Host),
+		DataCentre: string(rates.DataCentre),
 	}
-	for _, rate := range told.Rates {
+	for _, rate := range rates.Rates {
 		wire.Models = append(wire.Models, string(rate.Model))
 		wire.PerSecond = append(wire.PerSecond, float32(rate.PerSecond))
 	}
@@ -219,17 +220,17 @@
 }
 
 func decodeDemand(wire *entryhostpb.DemandRequest) demand.Told {
-	told := demand.Told{
+	rates := demand.Told{
 		Host:       ident.HostID(wire.GetHost()),
 		DataCentre: ident.DataCentre(wire.GetDataCentre()),
 	}
 	for i := range min(len(wire.GetModels()), len(wire.GetPerSecond())) {
-		told.Rates = append(told.Rates, demand.Rate{
+		rates.Rates = append(rates.Rates, demand.Rate{
 			Model:     ident.ModelName(wire.GetModels()[i]),
 			PerSecond: float64(wire.GetPerSecond()[i]),
 		})
 	}
-	return told
+	return rates
 }
 
 func encodeCounts(counts Counts) *entryhostpb.BurnResponse {
--- a/internal/peer/entryhost/codec_test.go
+++ b/internal/peer/entryhost/codec_test.go
@@ -21,24 +21,25 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// wired sends a message through its bytes, as the network does.
-func wired[M proto.Message](t require.TestingT, message, empty M) M {
+// throughBytes encodes a message and decodes it into empty, as a send over the network
+// does.
+func throughBytes[M proto.Message](t require.TestingT, message, empty M) M {
 	bytes, err := proto.Marshal(message)
 	require.NoError(t, err)
 	require.NoError(t, proto.Unmarshal(bytes, empty))
 	return empty
 }
 
-func text[S ~string](t *rapid.T, label string) S {
+func anyText[S ~string](t *rapid.T, label string) S {
 	return S(rapid.StringMatching("[a-z0-9-]{0,12}").Draw(t, label))
 }
 
-func instants(t *rapid.T, label string) time.Time {
+func anyTime(t *rapid.T, label string) time.Time {
 	nanos := rapid.Int64Range(0, 1<<61).Draw(t, label)
-	return instant(nanos)
+	return timeFromUnixNano(nanos)
 }
 
-func bytesOf(t *rapid.T, label string) []byte {
+func anyBytes(t *rapid.T, label string) []byte {
 	bytes := rapid.SliceOfN(rapid.Byte(), 1, 64).Draw(t, label)
 	return bytes
 }
@@ -53,10 +54,10 @@
 
 func anyPeer(t *rapid.T) membership.Peer {
 	return membership.Peer{
-		Host:       text[ident.HostID](t, "host"),
-		DataCentre: text[ident.DataCentre](t, "dc"),
-		Region:     text[ident.Region](t, "region"),
-		Address:    text[string](t, "address"),
+		Host:       anyText[ident.HostID](t, "host"),
+		DataCentre: anyText[ident.DataCentre](t, "dc"),
+		Region:     anyText[ident.Region](t, "region"),
+		Address:    anyText[string](t, "address"),
 		Beat:       rapid.Uint64().Draw(t, "beat"),
 		Stopping:   rapid.Bool().Draw(t, "stopping"),
 		Documents:  ident.Revision(rapid.Int64Min(0).Draw(t, "documents")),
@@ -64,37 +65,37 @@
 	}
 }
 
-func anyLife(t *rapid.T) suspects.Life {
+func anyCrash(t *rapid.T) suspects.Life {
 	return suspects.Life{
-		Server:      text[ident.ServerName](t, "server"),
-		Incarnation: text[ident.Incarnation](t, "incarnation"),
+		Server:      anyText[ident.ServerName](t, "server"),
+		Incarnation: anyText[ident.Incarnation](t, "incarnation"),
 	}
 }
 
 func anySuspect(t *rapid.T) suspects.Suspect {
 	return suspects.Suspect{
 		Fingerprint: ident.Fingerprint(rapid.Uint64().Draw(t, "fingerprint")),
-		Deaths:      listOf(t, "deaths", anyLife),
-		KeepUntil:   instants(t, "keep"),
+		Deaths:      listOf(t, "deaths", anyCrash),
+		KeepUntil:   anyTime(t, "keep"),
 	}
 }
 
 func anyDocument(t *rapid.T) documents.PeerDocument {
 	return documents.PeerDocument{
-		Team:     text[ident.TeamName](t, "team"),
+		Team:     anyText[ident.TeamName](t, "team"),
 		Revision: ident.Revision(rapid.Int64Min(0).Draw(t, "revision")),
-		Value:    bytesOf(t, "value"),
+		Value:    anyBytes(t, "value"),
 	}
 }
 
 func anyLeaving(t *rapid.T) routing.ServerLeaving {
 	return routing.ServerLeaving{
-		Server:      text[ident.ServerName](t, "server"),
-		Incarnation: text[ident.Incarnation](t, "incarnation"),
+		Server:      anyText[ident.ServerName](t, "server"),
+		Incarnation: anyText[ident.Incarnation](t, "incarnation"),
 	}
 }
 
-func anyMarks(t *rapid.T) Marks {
+func anyCursors(t *rapid.T) Marks {
 	return Marks{
 		Epoch:   rapid.Uint64().Draw(t, "epoch"),
 		Peers:   rapid.Uint64().Draw(t, "peers"),
@@ -102,7 +103,7 @@
 	}
 }
 
-func anyMilli(t *rapid.T) time.Time {
+func anyMillisecond(t *rapid.T) time.Time {
 	return time.UnixMilli(rapid.Int64Range(1, 1<<42).Draw(t, "at"))
 }
 
@@ -110,19 +111,19 @@
 	return reports.Load{
 		Server:  rapid.Uint32().Draw(t, "server"),
 		Digest:  rapid.Uint32().Draw(t, "digest"),
-		At:      anyMilli(t),
+		At:      anyMillisecond(t),
 		Running: rapid.IntRange(0, 1<<20).Draw(t, "running"),
 		Waiting: rapid.IntRange(0, 1<<20).Draw(t, "waiting"),
 	}
 }
 
-func anyHolding(t *rapid.T) reports.Holding {
+func anyInventory(t *rapid.T) reports.Holding {
 	return reports.Holding{
 		Digest: rapid.Uint32().Draw(t, "digest"),
 		Report: backend.Report{
-			Server:      text[ident.ServerName](t, "server"),
-			Incarnation: text[ident.Incarnation](t, "incarnation"),
-			At:          anyMilli(t),
+			Server:      anyText[ident.ServerName](t, "server"),
+			Incarnation: anyText[ident.Incarnation](t, "incarnation"),
+			At:          anyMillisecond(t),
 			Memory:      unit.Bytes(rapid.Int64Min(0).Draw(t, "memory")),
 			Running:     rapid.IntRange(0, 1<<20).Draw(t, "running"),
 			Waiting:     rapid.IntRange(0, 1<<20).Draw(t, "waiting"),
@@ -130,9 +131,9 @@
 			Leaving:     rapid.Bool().Draw(t, "leaving"),
 			Residents: listOf(t, "residents", func(t *rapid.T) backend.Resident {
 				return backend.Resident{
-					Model:   text[ident.ModelName](t, "model"),
-					Adapter: text[ident.AdapterName](t, "adapter"),
-					Version: text[ident.Version](t, "version"),
+					Model:   anyText[ident.ModelName](t, "model"),
+					Adapter: anyText[ident.AdapterName](t, "adapter"),
+					Version: anyText[ident.Version](t, "version"),
 					Memory:  unit.Bytes(rapid.Int64Min(0).Draw(t, "memory")),
 					Ready:   rapid.Bool().Draw(t, "ready"),
 				}
@@ -141,9 +142,9 @@
 	}
 }
 
-func anyKnowledge(t *rapid.T) Knowledge {
+func anyMessage(t *rapid.T) Knowledge {
 	loads := rapid.MapOf(rapid.StringMatching("[a-z0-9]{1,8}"), rapid.Int64Range(1, 1<<20)).Draw(t, "loads")
-	knowledge := Knowledge{
+	message := Knowledge{
 		Peers: append([]membership.Peer{anyPeer(t)}, listOf(t, "peers", anyPeer)...),
 		Beats: listOf(t, "beats", func(t *rapid.T) membership.Beat {
 			return membership.Beat{
@@ -157,11 +158,11 @@
 		More:         rapid.Bool().Draw(t, "more"),
 		Reports: reports.Word{
 			Loads:    listOf(t, "reports", anyReportLoad),
-			Holdings: listOf(t, "holdings", anyHolding),
+			Holdings: listOf(t, "holdings", anyInventory),
 		},
-		Told: anyMarks(t),
-		From: anyMarks(t),
-		Have: anyMarks(t),
+		Told: anyCursors(t),
+		From: anyCursors(t),
+		Have: anyCursors(t),
 		Documents: documents.Word{
 			Since:     ident.Revision(rapid.Int64Min(0).Draw(t, "since")),
 			Complete:  ident.Revision(rapid.Int64Min(0).Draw(t, "complete")),
@@ -172,33 +173,33 @@
 		Leaving:  listOf(t, "leaving", anyLeaving),
 	}
 	for server, load := range loads {
-		knowledge.Loads[ident.ServerName(server)] = load
+		message.Loads[ident.ServerName(server)] = load
 	}
-	return knowledge
+	return message
 }
 
-func TestKnowledgeRoundTrip(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		knowledge := anyKnowledge(t)
-		require.Equal(t, knowledge, decodeKnowledge(wired(t, encodeKnowledge(knowledge), &entryhostpb.Knowledge{})))
+		message := anyMessage(t)
+		require.Equal(t, message, decodeMessage(throughBytes(t, encodeMessage(message), &entryhostpb.Knowledge{})))
 	})
 }
 
-// A host finishes a claimed request whose answer is too long to be kept and
-// tells the home. Were the wire to lose Cut and Digest, the home would keep an
-// empty body as the whole answer, and a repeat would get it.
+// A host finishes a claimed request whose answer is too long to be stored and reports
+// it to the partition owner. If the encoding lost Cut and Digest, the owner would store
+// an empty body as the whole answer, and a repeated request would get it.
 func TestClaimsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		claim := claims.Claim{
-			Team:        text[ident.TeamName](t, "team"),
-			Key:         text[ident.IdempotencyKey](t, "key"),
-			Attempt:     text[ident.AttemptID](t, "attempt"),
+			Team:        anyText[ident.TeamName](t, "team"),
+			Key:         anyText[ident.IdempotencyKey](t, "key"),
+			Attempt:     anyText[ident.AttemptID](t, "attempt"),
 			Fingerprint: ident.Fingerprint(rapid.Uint64().Draw(t, "fingerprint")),
-			Deadline:    instants(t, "deadline"),
-			KeepUntil:   instants(t, "keep"),
-			Origin:      text[ident.HostID](t, "origin"),
+			Deadline:    anyTime(t, "deadline"),
+			KeepUntil:   anyTime(t, "keep"),
+			Origin:      anyText[ident.HostID](t, "origin"),
 		}
-		require.Equal(t, claim, decodeClaim(wired(t, encodeClaim(claim), &entryhostpb.ClaimRequest{})))
+		require.Equal(t, claim, decodeClaim(throughBytes(t, encodeClaim(claim), &entryhostpb.ClaimRequest{})))
 
 		answer := claims.Answer{
 			Team:        claim.Team,
@@ -208,14 +209,14 @@
 			Verdict:     rapid.SampledFrom([]claims.Verdict{claims.Unknown, claims.Granted, claims.ClaimedByOther, claims.Finished, claims.Refused, claims.KeyReused}).Draw(t, "verdict"),
 			Proof:       rapid.SampledFrom([]claims.Proof{claims.ProofNone, claims.ProofAttempt, claims.ProofKey}).Draw(t, "proof"),
 			Status:      rapid.IntRange(0, 599).Draw(t, "status"),
-			ContentType: text[string](t, "type"),
+			ContentType: anyText[string](t, "type"),
 			Whole:       rapid.Bool().Draw(t, "whole"),
-			Body:        bytesOf(t, "body"),
+			Body:        anyBytes(t, "body"),
 			Digest:      rapid.Uint64().Draw(t, "digest"),
-			RetryAt:     instants(t, "retry"),
-			Reason:      text[string](t, "reason"),
+			RetryAt:     anyTime(t, "retry"),
+			Reason:      anyText[string](t, "reason"),
 		}
-		require.Equal(t, answer, decodeAnswer(claim, wired(t, encodeAnswer(answer), &entryhostpb.ClaimResponse{})))
+		require.Equal(t, answer, decodeAnswer(claim, throughBytes(t, encodeAnswer(answer), &entryhostpb.ClaimResponse{})))
 
 		finish := claims.Finish{
 			Team:        claim.Team,
@@ -228,13 +229,13 @@
 			Digest:      answer.Digest,
 			Origin:      claim.Origin,
 		}
-		require.Equal(t, finish, decodeFinish(wired(t, encodeFinish(finish), &entryhostpb.FinishRequest{})))
+		require.Equal(t, finish, decodeFinish(throughBytes(t, encodeFinish(finish), &entryhostpb.FinishRequest{})))
 	})
 }
 
-// A home of a later version answers with a verdict that this one doesn't know.
-// Read as a grant, it would let a forbidden request run a second time.
-func TestAVerdictOfALaterVersionForbids(t *testing.T) {
+// A partition owner of a later version answers with a verdict that this version does
+// not know. Decoded as a grant, it would let a forbidden request run a second time.
+func TestUnknownVerdictForbidsSending(t *testing.T) {
 	answer := decodeAnswer(claims.Claim{}, &entryhostpb.ClaimResponse{
 		Verdict: 99,
 		Proof:   99,
@@ -246,13 +247,13 @@
 func TestCountsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		counts := Counts{
-			Host: text[ident.HostID](t, "host"),
+			Host: anyText[ident.HostID](t, "host"),
 			Rows: listOf(t, "rows", func(t *rapid.T) burn.Row {
 				return burn.Row{
 					Key: burn.Key{
-						Team:  text[ident.TeamName](t, "team"),
-						Class: text[ident.ClassName](t, "class"),
-						Model: text[ident.ModelName](t, "model"),
+						Team:  anyText[ident.TeamName](t, "team"),
+						Class: anyText[ident.ClassName](t, "class"),
+						Model: anyText[ident.ModelName](t, "model"),
 					},
 					Start: time.Unix(rapid.Int64Range(1, 1<<33).Draw(t, "start"), 0).UTC(),
 					Counts: burn.Counts{
@@ -264,6 +265,6 @@
 				}
 			}),
 		}
-		require.Equal(t, counts, decodeCounts(wired(t, encodeCounts(counts), &entryhostpb.BurnResponse{})))
+		require.Equal(t, counts, decodeCounts(throughBytes(t, encodeCounts(counts), &entryhostpb.BurnResponse{})))
 	})
 }
--- a/internal/peer/entryhost/decisions.go
+++ b/internal/peer/entryhost/decisions.go
@@ -10,8 +10,8 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// Decisions asks a peer for what it decided itself. Who may see what is the
-// asker's to check: the query says it.
+// Decisions fetches what a peer itself decided. The peer does not check who asks: the
+// caller must have checked it and limited the query to what that person may see.
 func (p *Pool) Decisions(ctx context.Context, address string, query decisions.Query) ([]decisions.Decision, error) {
 	peer, err := p.Peer(address)
 	if err != nil {
@@ -56,7 +56,7 @@
 		d := &found[i]
 		wire.Decisions = append(wire.Decisions, &entryhostpb.Decision{
 			Kind:            string(d.Kind),
-			AtUnixNano:      nanos(d.At),
+			AtUnixNano:      unixNano(d.At),
 			Host:            string(d.Host),
 			Team:            string(d.Team),
 			Request:         string(d.Request),
@@ -68,7 +68,7 @@
 			Code:            d.Code,
 			Run:             d.Run,
 			Message:         d.Message,
-			RetryAtUnixNano: nanos(d.RetryAt),
+			RetryAtUnixNano: unixNano(d.RetryAt),
 			Have:            int32(d.Have),
 			Want:            int32(d.Want),
 		})
@@ -81,7 +81,7 @@
 	for _, d := range wire.GetDecisions() {
 		found = append(found, decisions.Decision{
 			Kind:    decisions.Kind(d.GetKind()),
-			At:      instant(d.GetAtUnixNano()),
+			At:      timeFromUnixNano(d.GetAtUnixNano()),
 			Host:    ident.HostID(d.GetHost()),
 			Team:    ident.TeamName(d.GetTeam()),
 			Request: ident.RequestID(d.GetRequest()),
@@ -93,7 +93,7 @@
 			Code:    d.GetCode(),
 			Run:     d.GetRun(),
 			Message: d.GetMessage(),
-			RetryAt: instant(d.GetRetryAtUnixNano()),
+			RetryAt: timeFromUnixNano(d.GetRetryAtUnixNano()),
 			Have:    int(d.GetHave()),
 			Want:    int(d.GetWant()),
 		})
--- a/internal/peer/entryhost/entryhost.go
+++ b/internal/peer/entryhost/entryhost.go
@@ -1,12 +1,17 @@
-// Package entryhost is what entry hosts say to one another, over gRPC.
+// Package entryhost is the gRPC service between entry hosts: its client, its server,
+// and the mapping between protobuf messages and the types of the control packages.
 //
-// There are seven calls. Exchange is the heartbeat: each side tells the beats,
-// documents, loads, suspects and leaving backend servers that it knows, and
-// each part carries what orders it, so that telling it twice or late does no
-// harm. Claim, Finish and Release go to the home of a key's partition. Demand
-// goes to the host that leads the placement. Burn collects the counts for the
-// report on service-level burn, and Decisions what a host decided of late, for
-// whoever asks why.
+// The service has seven calls:
+//
+//   - Exchange is the heartbeat. Each side sends the heartbeats, documents, server loads, suspects and leaving backend servers that it knows. Each part carries its own version or position, so duplicates and late messages do no harm.
+//   - Claim, Finish and Release go to the owner of the partition of an idempotency key.
+//   - Demand sends request rates to the leader of the placement.
+//   - Burn fetches a host's request counts for the report on service-level burn.
+//   - Decisions fetches a host's recent decisions, to explain them to an operator.
+//
+// Server passes the calls of peers to a Handler, each in a goroutine of its own; Pool
+// makes calls to peers. Both are safe for concurrent use. The control loop implements
+// Handler and holds the Pool.
 //
 // # Usage
 //
@@ -18,8 +23,8 @@
 //	var pool entryhost.Pool
 //	theirs, err := pool.Exchange(ctx, peer.Address, ours)
 //
-// The wire form is proto/entryhost/entryhost.proto. All times on it are
-// instants in Unix nanoseconds.
+// The wire format is proto/entryhost/entryhost.proto. Its times are Unix nanoseconds,
+// or the unit that a field's name says.
 package entryhost
 
 import (
@@ -42,13 +47,14 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// Knowledge is what one host tells another.
+// Knowledge is the message that each of two hosts sends the other in an exchange.
 type Knowledge struct {
 	// Peers has the sender first.
 	Peers []membership.Peer
 	Beats []membership.Beat
-	// Told is how far the sender has now told, From the place after which this
-	// word begins, Have how far the sender has taken in the receiver's word.
+	// Told is the sender's position after this message and From the position before it:
+	// the message carries the changes between the two. Have is the position up to which
+	// the sender has received the receiver's messages.
 	Told      Marks
 	From      Marks
 	Have      Marks
@@ -56,17 +62,17 @@
 	Loads     map[ident.ServerName]int64
 	Suspects  []suspects.Suspect
 	Leaving   []routing.ServerLeaving
-	// WantsReports tells that the sender relies on peers for reports; with
-	// AllReports, for those of every region alike.
+	// WantsReports says that the sender relies on peers for reports of backend servers;
+	// AllReports that it wants those of every region.
 	WantsReports bool
 	AllReports   bool
-	// Reports is what the receiver has not heard of backend servers.
+	// Reports are the reports of backend servers that the receiver does not have yet.
 	Reports reports.Word
-	// More tells that not everything fitted in.
+	// More says that the sender has more changes than fit into this message.
 	More bool
 }
 
-// Sender gives the host whose word it is, the zero Peer for an empty word.
+// Sender returns the host that sent the message, the zero Peer for an empty message.
 func (k *Knowledge) Sender() membership.Peer {
 	if len(k.Peers) == 0 {
 		return membership.Peer{}
@@ -74,7 +80,8 @@
 	return k.Peers[0]
 }
 
-// Marks are places in the news of one life of a host, its Epoch.
+// Marks are positions in the sequences of changes that one host sends. Epoch identifies
+// the host's incarnation; positions of different epochs do not compare.
 type Marks struct {
 	Epoch   uint64
 	Peers   uint64
@@ -87,20 +94,21 @@
 	Rows []burn.Row
 }
 
-// Handler answers peers.
+// Handler serves the calls of peers. Its methods are called concurrently.
 type Handler interface {
 	Exchange(ctx context.Context, theirs Knowledge) (Knowledge, error)
 	Counts(ctx context.Context) (Counts, error)
 	Demand(ctx context.Context, told demand.Told) error
-	// Decisions gives what this host itself decided.
+	// Decisions returns what this host itself decided.
 	Decisions(ctx context.Context, query decisions.Query) ([]decisions.Decision, error)
-	// The calls on claims are for an attempt of another host, their Origin.
+	// The next three serve an attempt of another host, which the Origin field names;
+	// this host owns the partition.
 	ClaimFor(ctx context.Context, claim claims.Claim) (claims.Answer, error)
 	FinishFor(ctx context.Context, finish claims.Finish) (bool, error)
 	ReleaseFor(ctx context.Context, release claims.Release) (bool, error)
 }
 
-// Metered is a Handler that wants to know what its peers' connections carry.
+// Metered is a Handler whose server counts the bytes of its connections.
 type Metered interface {
 	Meter() *meter.Meter
 }
@@ -108,43 +116,44 @@
 // Server listens for peers.
 type Server struct {
 	Handler Handler
-	// Fleet gives the fleet of this host: others' calls are refused.
+	// Fleet returns the fleet of this host: calls from other fleets are refused.
 	Fleet  grpcpeer.Fleet
 	server grpcpeer.Server
 }
 
-// Start listens at an address ("ip:port"; port 0 takes any) and gives the
-// address that it got.
+// Start listens at an address ("ip:port"; port 0 takes any free one) and returns the
+// bound address.
 func (s *Server) Start(address string) (string, error) {
-	var counted *meter.Meter
-	if metered, wanted := s.Handler.(Metered); wanted {
-		counted = metered.Meter()
+	var connMeter *meter.Meter
+	if metered, ok := s.Handler.(Metered); ok {
+		connMeter = metered.Meter()
 	}
 	s.server.Fleet = s.Fleet
 	return s.server.Start(address, func(registrar grpc.ServiceRegistrar) {
 		entryhostpb.RegisterEntryHostServer(registrar, &service{
 			handler: s.Handler,
 		})
-	}, counted)
+	}, connMeter)
 }
 
-// Stop ends the calls under way and gives the first error.
+// Stop aborts the calls in flight and returns the first error.
 func (s *Server) Stop() error {
 	return s.server.Stop()
 }
 
-// service maps the wire form to the handler's.
+// service implements the gRPC service: it decodes requests, calls the handler and
+// encodes its results.
 type service struct {
 	entryhostpb.UnimplementedEntryHostServer
 	handler Handler
 }
 
-func (s *service) Exchange(ctx context.Context, theirs *entryhostpb.Knowledge) (*entryhostpb.Knowledge, error) {
-	ours, err := s.handler.Exchange(ctx, decodeKnowledge(theirs))
+func (s *service) Exchange(ctx context.Context, request *entryhostpb.Knowledge) (*entryhostpb.Knowledge, error) {
+	response, err := s.handler.Exchange(ctx, decodeMessage(request))
 	if err != nil {
 		return nil, err
 	}
-	return encodeKnowledge(ours), nil
+	return encodeMessage(response), nil
 }
 
 func (s *service) Burn(ctx context.Context, _ *entryhostpb.BurnRequest) (*entryhostpb.BurnResponse, error) {
--- a/internal/peer/entryhost/entryhost_test.go
+++ b/internal/peer/entryhost/entryhost_test.go
@@ -23,63 +23,63 @@
 	goleak.VerifyTestMain(m)
 }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// peer answers with what it was given and keeps what it was told.
-type peer struct {
-	knows  Knowledge
-	heard  Knowledge
-	finish claims.Finish
-	demand demand.Told
-	err    error
+// fakeHandler returns prepared results and records the calls.
+type fakeHandler struct {
+	reply    Knowledge
+	received Knowledge
+	finish   claims.Finish
+	demand   demand.Told
+	err      error
 
-	query   decisions.Query
-	decided []decisions.Decision
+	query  decisions.Query
+	stored []decisions.Decision
 }
 
-func (p *peer) Exchange(_ context.Context, theirs Knowledge) (Knowledge, error) {
-	p.heard = theirs
-	return p.knows, p.err
+func (p *fakeHandler) Exchange(_ context.Context, theirs Knowledge) (Knowledge, error) {
+	p.received = theirs
+	return p.reply, p.err
 }
 
-func (p *peer) Counts(context.Context) (Counts, error) {
+func (p *fakeHandler) Counts(context.Context) (Counts, error) {
 	return Counts{
 		Host: "entry-1",
 	}, p.err
 }
 
-func (p *peer) Demand(_ context.Context, told demand.Told) error {
-	p.demand = told
+func (p *fakeHandler) Demand(_ context.Context, rates demand.Told) error {
+	p.demand = rates
 	return p.err
 }
 
-func (p *peer) Decisions(_ context.Context, query decisions.Query) ([]decisions.Decision, error) {
+func (p *fakeHandler) Decisions(_ context.Context, query decisions.Query) ([]decisions.Decision, error) {
 	p.query = query
-	return p.decided, p.err
+	return p.stored, p.err
 }
 
-func (p *peer) ClaimFor(_ context.Context, claim claims.Claim) (claims.Answer, error) {
+func (p *fakeHandler) ClaimFor(_ context.Context, claim claims.Claim) (claims.Answer, error) {
 	return claims.Answer{
 		Attempt: claim.Attempt,
 		Verdict: claims.Granted,
 	}, p.err
 }
 
-func (p *peer) FinishFor(_ context.Context, finish claims.Finish) (bool, error) {
+func (p *fakeHandler) FinishFor(_ context.Context, finish claims.Finish) (bool, error) {
 	p.finish = finish
 	return true, p.err
 }
 
-func (p *peer) ReleaseFor(context.Context, claims.Release) (bool, error) {
+func (p *fakeHandler) ReleaseFor(context.Context, claims.Release) (bool, error) {
 	return true, p.err
 }
 
-func serve(t *testing.T, handler *peer) (string, *Pool) {
+func serve(t *testing.T, handler *fakeHandler) (string, *Pool) {
 	t.Helper()
 	return serveFleet(t, handler, nil)
 }
 
-func serveFleet(t *testing.T, handler *peer, fleet grpcpeer.Fleet) (string, *Pool) {
+func serveFleet(t *testing.T, handler *fakeHandler, fleet grpcpeer.Fleet) (string, *Pool) {
 	t.Helper()
 	server := &Server{
 		Handler: handler,
@@ -95,30 +95,30 @@
 	return address, pool
 }
 
-// A team's requests were refused by classes that its document hadn't: those of a document
-// of the same team in another fleet. A host of that fleet had gone, a host of this one got
-// its address, and the other fleet's hosts went on telling it what they know. Their
-// revisions were higher.
-func TestAHostOfAnotherFleetIsRefused(t *testing.T) {
+// A new host gets the address of a removed host of another fleet, and that fleet's
+// hosts go on sending it their messages. If it accepted them, their documents with
+// higher revisions would replace those of the same team here, and requests would be
+// refused for classes that the team's document does not have.
+func TestCallFromAnotherFleetIsRefused(t *testing.T) {
 	ours := ident.FleetID(7)
-	handler := &peer{}
+	handler := &fakeHandler{}
 	address, pool := serveFleet(t, handler, func() ident.FleetID { return ours })
 	theirs := ident.FleetID(8)
 	pool.Fleet = func() ident.FleetID { return theirs }
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	knowledge := Knowledge{
+	message := Knowledge{
 		Peers: []membership.Peer{{
 			Host: "entry-2",
 		}},
 	}
-	_, err := pool.Exchange(ctx, address, knowledge)
+	_, err := pool.Exchange(ctx, address, message)
 	require.ErrorContains(t, err, "found fleet 8, allowed 7")
-	require.Empty(t, handler.heard.Peers)
+	require.Empty(t, handler.received.Peers)
 	_, err = pool.Claim(ctx, address, claims.Claim{
 		Attempt: "att-1",
 	})
-	require.Error(t, err, "a claim granted elsewhere is no claim")
+	require.Error(t, err, "a claim granted in another fleet does not count")
 
 	for _, known := range []struct {
 		ours, theirs ident.FleetID
@@ -127,17 +127,17 @@
 		{ours: 7, theirs: 0},
 		{ours: 0, theirs: 7},
 	} {
-		handler.heard = Knowledge{}
+		handler.received = Knowledge{}
 		ours, theirs = known.ours, known.theirs
-		_, err = pool.Exchange(ctx, address, knowledge)
-		require.NoError(t, err, "hosts that start in an outage learn from peers")
-		require.NotEmpty(t, handler.heard.Peers)
+		_, err = pool.Exchange(ctx, address, message)
+		require.NoError(t, err, "a host that starts in an outage needs its peers' documents")
+		require.NotEmpty(t, handler.received.Peers)
 	}
 }
 
-func TestEveryCallReachesThePeer(t *testing.T) {
-	handler := &peer{
-		knows: Knowledge{
+func TestCallsReachHandler(t *testing.T) {
+	handler := &fakeHandler{
+		reply: Knowledge{
 			Peers: []membership.Peer{{
 				Host: "entry-1",
 				Beat: 9,
@@ -145,7 +145,7 @@
 		},
 	}
 	address, pool := serve(t, handler)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 
 	theirs, err := pool.Exchange(ctx, address, Knowledge{
@@ -156,7 +156,7 @@
 	})
 	require.NoError(t, err)
 	require.EqualValues(t, 9, theirs.Peers[0].Beat)
-	require.EqualValues(t, "entry-2", handler.heard.Peers[0].Host)
+	require.EqualValues(t, "entry-2", handler.received.Peers[0].Host)
 
 	answer, err := pool.Claim(ctx, address, claims.Claim{
 		Attempt: "att-1",
@@ -179,7 +179,7 @@
 	require.NoError(t, err)
 	require.True(t, recorded)
 
-	told := demand.Told{
+	rates := demand.Told{
 		Host:       "entry-2",
 		DataCentre: "brest-a",
 		Rates: []demand.Rate{{
@@ -187,19 +187,19 @@
 			PerSecond: 2.5,
 		}},
 	}
-	require.NoError(t, pool.Demand(ctx, address, told))
-	require.Equal(t, told, handler.demand)
+	require.NoError(t, pool.Demand(ctx, address, rates))
+	require.Equal(t, rates, handler.demand)
 
 	counts, err := pool.Burn(ctx, address)
 	require.NoError(t, err)
 	require.EqualValues(t, "entry-1", counts.Host)
 }
 
-// A person asks one host about a refusal of another: every field of the answer
-// comes over as it was, and so does who asks.
-func TestDecisionsComeOverWhole(t *testing.T) {
-	handler := &peer{
-		decided: []decisions.Decision{{
+// An operator asks one host about a refusal of another: every field of the query, with
+// who asks, and of the answer must arrive unchanged.
+func TestDecisionsRoundTrip(t *testing.T) {
+	handler := &fakeHandler{
+		stored: []decisions.Decision{{
 			Kind:    decisions.KindMove,
 			At:      time.Unix(0, 7),
 			Host:    "entry-1",
@@ -219,7 +219,7 @@
 		}},
 	}
 	address, pool := serve(t, handler)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	query := decisions.Query{
 		ID:       "ord-1",
@@ -230,35 +230,35 @@
 	found, err := pool.Decisions(ctx, address, query)
 	require.NoError(t, err)
 	require.Equal(t, query, handler.query)
-	require.Equal(t, handler.decided, found)
+	require.Equal(t, handler.stored, found)
 }
 
-// A host starts with empty memory while the key-value service is out and asks a
-// peer for all documents. They are more than gRPC's default of 4 MiB: an answer
-// refused for its size would leave the host without documents for the outage.
-func TestAHostCanLearnManyDocumentsAtOnce(t *testing.T) {
-	var handler peer
+// A host starts with empty memory while the key-value service is down and gets all
+// documents from a peer. They exceed gRPC's default limit of 4 MiB: an answer refused
+// for its size would leave the host without documents for the whole outage.
+func TestExchangeCarriesLargeDocuments(t *testing.T) {
+	var handler fakeHandler
 	for range 8 {
-		handler.knows.Documents.Documents = append(handler.knows.Documents.Documents, documents.PeerDocument{
+		handler.reply.Documents.Documents = append(handler.reply.Documents.Documents, documents.PeerDocument{
 			Team:  "kerlouan",
 			Value: bytes.Repeat([]byte("x"), 1<<20),
 		})
 	}
 	address, pool := serve(t, &handler)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	theirs, err := pool.Exchange(ctx, address, Knowledge{})
 	require.NoError(t, err)
 	require.Len(t, theirs.Documents.Documents, 8)
 }
 
-// An error of the peer, a peer that is gone and a pool that is closed are
-// errors to the asker, never an empty word that would look like news.
-func TestFailuresAreErrors(t *testing.T) {
-	address, pool := serve(t, &peer{
+// A handler that fails, an unreachable peer and a closed pool must return errors, never
+// an empty message, which would look like a real one.
+func TestFailedCallsReturnErrors(t *testing.T) {
+	address, pool := serve(t, &fakeHandler{
 		err: errors.New("ending"),
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err := pool.Exchange(ctx, address, Knowledge{})
 	require.Error(t, err)
--- a/internal/peer/entryhost/reports.go
+++ b/internal/peer/entryhost/reports.go
@@ -10,31 +10,31 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// encodeReports tells a load by its distance from the newest of them: most are a
-// few seconds behind, and go in two or three bytes.
-func encodeReports(wire *entryhostpb.Knowledge, word *reports.Word) {
-	for i := range word.Loads {
-		wire.ReportsAtUnixMilli = max(wire.ReportsAtUnixMilli, word.Loads[i].At.UnixMilli())
+// encodeReports encodes the time of a load as the distance from the newest of them:
+// most are a few seconds behind, and take two or three bytes as varints.
+func encodeReports(wire *entryhostpb.Knowledge, message *reports.Word) {
+	for i := range message.Loads {
+		wire.ReportsAtUnixMilli = max(wire.ReportsAtUnixMilli, message.Loads[i].At.UnixMilli())
 	}
-	for i := range word.Loads {
-		load := &word.Loads[i]
+	for i := range message.Loads {
+		load := &message.Loads[i]
 		wire.ReportServers = append(wire.ReportServers, load.Server)
 		wire.ReportDigests = append(wire.ReportDigests, load.Digest)
 		wire.ReportBehind = append(wire.ReportBehind, wire.ReportsAtUnixMilli-load.At.UnixMilli())
 		wire.ReportRunning = append(wire.ReportRunning, uint32(load.Running))
 		wire.ReportWaiting = append(wire.ReportWaiting, uint32(load.Waiting))
 	}
-	for i := range word.Holdings {
-		wire.Holdings = append(wire.Holdings, encodeHolding(&word.Holdings[i]))
+	for i := range message.Holdings {
+		wire.Holdings = append(wire.Holdings, encodeInventory(&message.Holdings[i]))
 	}
 }
 
 func decodeReports(wire *entryhostpb.Knowledge) reports.Word {
-	var word reports.Word
+	var message reports.Word
 	count := min(len(wire.GetReportServers()), len(wire.GetReportDigests()), len(wire.GetReportBehind()),
 		len(wire.GetReportRunning()), len(wire.GetReportWaiting()))
 	for i := range count {
-		word.Loads = append(word.Loads, reports.Load{
+		message.Loads = append(message.Loads, reports.Load{
 			Server:  wire.GetReportServers()[i],
 			Digest:  wire.GetReportDigests()[i],
 			At:      time.UnixMilli(wire.GetReportsAtUnixMilli() - wire.GetReportBehind()[i]),
@@ -42,18 +42,18 @@
 			Waiting: int(wire.GetReportWaiting()[i]),
 		})
 	}
-	for _, holding := range wire.GetHoldings() {
-		word.Holdings = append(word.Holdings, decodeHolding(holding))
+	for _, inventory := range wire.GetHoldings() {
+		message.Holdings = append(message.Holdings, decodeInventory(inventory))
 	}
-	return word
+	return message
 }
 
-func encodeHolding(holding *reports.Holding) *entryhostpb.Holding {
-	report := &holding.Report
+func encodeInventory(inventory *reports.Holding) *entryhostpb.Holding {
+	report := &inventory.Report
 	wire := &entryhostpb.Holding{
 		Server:      string(report.Server),
 		Incarnation: string(report.Incarnation),
-		Digest:      holding.Digest,
+		Digest:      inventory.Digest,
 		AtUnixMilli: report.At.UnixMilli(),
 		Memory:      int64(report.Memory),
 		Running:     int32(report.Running),
@@ -74,8 +74,8 @@
 	return wire
 }
 
-func decodeHolding(wire *entryhostpb.Holding) reports.Holding {
-	holding := reports.Holding{
+func decodeInventory(wire *entryhostpb.Holding) reports.Holding {
+	inventory := reports.Holding{
 		Report: backend.Report{
 			Server:      ident.ServerName(wire.GetServer()),
 			Incarnation: ident.Incarnation(wire.GetIncarnation()),
@@ -89,7 +89,7 @@
 		Digest: wire.GetDigest(),
 	}
 	for _, resident := range wire.GetResidents() {
-		holding.Report.Residents = append(holding.Report.Residents, backend.Resident{
+		inventory.Report.Residents = append(inventory.Report.Residents, backend.Resident{
 			Model:   ident.ModelName(resident.GetModel()),
 			Adapter: ident.AdapterName(resident.GetAdapter()),
 			Version: ident.Version(resident.GetVersion()),
@@ -97,5 +97,5 @@
 			Ready:   resident.GetReady(),
 		})
 	}
-	return holding
+	return inventory
 }
--- a/internal/peer/entryhost/scale_test.go
+++ b/internal/peer/entryhost/scale_test.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	// framing is what HTTP/2 and gRPC add to each message, request or answer.
-	framing      = 60
-	pollsEvery   = 3 * time.Second
-	watchers     = 2
-	dataCentres  = 7
-	firstRegion  = 4
-	warmUp       = 30
-	sampleRounds = 30
+	// framingBytes is the overhead of HTTP/2 and gRPC for each request or answer.
+	framingBytes           = 60
+	pollInterval           = 3 * time.Second
+	watchersPerServer      = 2
+	dataCentres            = 7
+	firstRegionDataCentres = 4
+	warmUpSeconds          = 30
+	sampleSeconds          = 30
 )
 
-// node is one host's part of the exchange.
+// node is the state of one simulated host.
 type node struct {
-	members membership.Machine
-	reports reports.Machine
-	have    map[ident.HostID]Marks
-	bytes   int
-	polled  int
+	members  membership.Machine
+	reports  reports.Machine
+	received map[ident.HostID]Marks
+	bytes    int
+	polls    int
 }
 
-// network is a fleet whose hosts exchange encoded messages in simulated time.
-type network struct {
+// simulation is a fleet whose hosts exchange encoded messages in simulated time.
+type simulation struct {
 	t       *testing.T
 	now     time.Time
 	random  *rand.Rand
@@ -48,17 +48,17 @@
 	missing int
 }
 
-func place(i int) (ident.DataCentre, ident.Region) {
+func location(i int) (ident.DataCentre, ident.Region) {
 	dataCentre := i % dataCentres
 	region := ident.Region("finistere")
-	if dataCentre >= firstRegion {
+	if dataCentre >= firstRegionDataCentres {
 		region = "armor"
 	}
 	return ident.DataCentre(fmt.Sprint("dc-", dataCentre)), region
 }
 
-func newNetwork(t *testing.T, hosts, servers int) *network {
-	n := &network{
+func newSimulation(t *testing.T, hosts, servers int) *simulation {
+	n := &simulation{
 		t:      t,
 		now:    time.Unix(1_700_000_000, 0),
 		random: rand.New(rand.NewPCG(1, 2)),
@@ -70,13 +70,13 @@
 			Host:    ident.HostID(fmt.Sprintf("brest-a-entry-%03d", i)),
 			Address: fmt.Sprintf("10.1.%d.%d:7300", i/250, i%250),
 		}
-		peer.DataCentre, peer.Region = place(i)
+		peer.DataCentre, peer.Region = location(i)
 		list = append(list, peer)
 		added := &node{
 			members: membership.Machine{
 				Self: peer,
 			},
-			have: make(map[ident.HostID]Marks),
+			received: make(map[ident.HostID]Marks),
 		}
 		n.nodes = append(n.nodes, added)
 		n.byName[peer.Host] = added
@@ -86,7 +86,7 @@
 			Name: ident.ServerName(fmt.Sprintf("brest-a-gpu-%03d", i)),
 			Kind: backend.KindEngine,
 		}
-		server.DataCentre, server.Region = place(i)
+		server.DataCentre, server.Region = location(i)
 		n.servers = append(n.servers, server)
 	}
 	for _, one := range n.nodes {
@@ -100,49 +100,49 @@
 	return n
 }
 
-// tell gives the receiver what it has not taken in, through the codec.
-func (n *network) tell(from, to *node) {
-	have := to.have[from.members.Self.Host]
-	word := from.members.Word(n.now, to.members.Self.Host, have.Peers)
-	servers := from.reports.Word(reports.Reader{
+// send sends the changes that the receiver does not have yet, encoded and decoded.
+func (n *simulation) send(from, to *node) {
+	received := to.received[from.members.Self.Host]
+	memberMessage := from.members.Word(n.now, to.members.Self.Host, received.Peers)
+	reportMessage := from.reports.Word(reports.Reader{
 		Host:   to.members.Self.Host,
 		Region: to.members.Self.Region,
-	}, have.Reports)
-	message := encodeKnowledge(Knowledge{
-		Peers:   word.Peers,
-		Beats:   word.Beats,
-		Reports: servers,
-		From:    have,
-		Have:    from.have[to.members.Self.Host],
+	}, received.Reports)
+	message := encodeMessage(Knowledge{
+		Peers:   memberMessage.Peers,
+		Beats:   memberMessage.Beats,
+		Reports: reportMessage,
+		From:    received,
+		Have:    from.received[to.members.Self.Host],
 		Told: Marks{
 			Epoch:   1,
-			Peers:   word.Through,
-			Reports: servers.Through,
+			Peers:   memberMessage.Through,
+			Reports: reportMessage.Through,
 		},
 		WantsReports: true,
 	})
-	size := proto.Size(message) + framing
+	size := proto.Size(message) + framingBytes
 	from.bytes += size
 	to.bytes += size
-	got := decodeKnowledge(message)
-	to.have[from.members.Self.Host] = got.Told
+	decoded := decodeMessage(message)
+	to.received[from.members.Self.Host] = decoded.Told
 	to.members.Step(n.now, membership.Heard{
 		From: from.members.Self.Host,
 		Word: membership.Word{
-			Peers: got.Peers,
-			Beats: got.Beats,
+			Peers: decoded.Peers,
+			Beats: decoded.Beats,
 		},
 	})
-	news := to.reports.Step(n.now, reports.Told{
+	result := to.reports.Step(n.now, reports.Told{
 		From: from.members.Self.Host,
-		Word: got.Reports,
+		Word: decoded.Reports,
 	})
-	if news.Missing {
+	if result.Missing {
 		n.missing++
 	}
 }
 
-func (n *network) poll(one *node, server int) {
+func (n *simulation) poll(one *node, server int) {
 	report := backend.Report{
 		Server:      n.servers[server].Name,
 		Incarnation: "inc-00112233445566778899aabbccddeeff",
@@ -160,44 +160,45 @@
 			Ready:   true,
 		})
 	}
-	one.polled++
+	one.polls++
 	one.reports.Step(n.now, reports.Polled{
 		Report: report,
 	})
 }
 
-// round is one second. Hosts take their turns in another order each time, as
-// hosts that are not in step do.
-func (n *network) round(second int) {
+// step simulates one second. Hosts take their turns in a different order each time, as
+// hosts without a common clock do.
+func (n *simulation) step(second int) {
 	n.now = n.now.Add(time.Second)
-	for _, at := range n.random.Perm(len(n.nodes)) {
-		one := n.nodes[at]
+	for _, index := range n.random.Perm(len(n.nodes)) {
+		one := n.nodes[index]
 		one.members.Step(n.now, membership.Beaten{})
 		for _, target := range one.members.Targets(n.now, false) {
-			n.tell(one, n.byName[target.Host])
-			n.tell(n.byName[target.Host], one)
+			n.send(one, n.byName[target.Host])
+			n.send(n.byName[target.Host], one)
 		}
 	}
 	roster := n.nodes[0].members.Roster(n.now)
 	for i := range n.servers {
 		server := &n.servers[i]
-		for k, host := range roster.Chosen(string(server.Name), server.DataCentre, server.Region, watchers) {
-			if (second+i+k)%int(pollsEvery/time.Second) == 0 {
+		for k, host := range roster.Chosen(string(server.Name), server.DataCentre, server.Region, watchersPerServer) {
+			if (second+i+k)%int(pollInterval/time.Second) == 0 {
 				n.poll(n.byName[host], i)
 			}
 		}
 	}
 }
 
-// ages gives how old the reports of a host's own region, and of the other, are.
-func (n *network) ages() (sum, oldest, far time.Duration, count int) { //nolint:nonamedreturns // four of a kind
+// reportAges returns the ages of the reports at all hosts: the sum, the maximum and the
+// count for servers of a host's own region, and the maximum for the other region.
+func (n *simulation) reportAges() (sum, oldest, oldestElsewhere time.Duration, count int) { //nolint:nonamedreturns // several results of one type
 	for _, one := range n.nodes {
 		for i := range n.servers {
 			report, _, found := one.reports.Newest(n.servers[i].Name)
 			require.True(n.t, found)
 			age := n.now.Sub(report.At)
 			if n.servers[i].Region != one.members.Self.Region {
-				far = max(far, age)
+				oldestElsewhere = max(oldestElsewhere, age)
 				continue
 			}
 			sum += age
@@ -205,11 +206,11 @@
 			count++
 		}
 	}
-	return sum, oldest, far, count
+	return sum, oldest, oldestElsewhere, count
 }
 
-// TestMeasureExchange prints what the exchange costs a host, by the size of the
-// fleet, and how old the reports are that it brings.
+// TestMeasureExchange prints what the exchange costs a host by the size of the fleet,
+// and the ages of the reports that it distributes.
 func TestMeasureExchange(t *testing.T) {
 	if os.Getenv("CICADALOOM_MEASURE") == "" {
 		t.Skip("set CICADALOOM_MEASURE to measure")
@@ -222,21 +223,21 @@
 }
 
 func measureExchange(t *testing.T, hosts, servers int) string {
-	n := newNetwork(t, hosts, servers)
-	for second := range warmUp {
-		n.round(second)
+	n := newSimulation(t, hosts, servers)
+	for second := range warmUpSeconds {
+		n.step(second)
 	}
 	for _, one := range n.nodes {
-		one.bytes, one.polled = 0, 0
+		one.bytes, one.polls = 0, 0
 	}
-	var sum, oldest, far, spent time.Duration
+	var sum, oldest, oldestElsewhere, spent time.Duration
 	count := 0
-	for second := range sampleRounds {
-		began := time.Now()
-		n.round(second)
-		spent += time.Since(began)
-		s, o, f, c := n.ages()
-		sum, oldest, far, count = sum+s, max(oldest, o), max(far, f), count+c
+	for second := range sampleSeconds {
+		started := time.Now()
+		n.step(second)
+		spent += time.Since(started)
+		s, o, f, c := n.reportAges()
+		sum, oldest, oldestElsewhere, count = sum+s, max(oldest, o), max(oldestElsewhere, f), count+c
 	}
 	require.Zero(t, n.missing)
 	bytes, most, polled, mostPolled := 0, 0, 0, 0
@@ -244,12 +245,12 @@
 		require.Len(t, one.members.Live(n.now), hosts)
 		bytes += one.bytes
 		most = max(most, one.bytes)
-		polled += one.polled
-		mostPolled = max(mostPolled, one.polled)
+		polled += one.polls
+		mostPolled = max(mostPolled, one.polls)
 	}
-	each := func(total int) float64 { return float64(total) / sampleRounds / float64(hosts) }
+	perHostSecond := func(total int) float64 { return float64(total) / sampleSeconds / float64(hosts) }
 	return fmt.Sprintf("| %d | %d | %.0f | %.0f | %.2f | %.2f | %.1f s | %s | %s | %.1f |\n", hosts, servers,
-		each(bytes), float64(most)/sampleRounds, each(polled), float64(mostPolled)/sampleRounds,
-		(sum / time.Duration(count)).Seconds(), oldest, far,
-		float64(spent.Milliseconds())/sampleRounds/float64(hosts))
+		perHostSecond(bytes), float64(most)/sampleSeconds, perHostSecond(polled), float64(mostPolled)/sampleSeconds,
+		(sum / time.Duration(count)).Seconds(), oldest, oldestElsewhere,
+		float64(spent.Milliseconds())/sampleSeconds/float64(hosts))
 }
