--- a/internal/peer/engine/engine.go
+++ b/internal/peer/engine/engine.go
@@ -1,5 +1,9 @@
-// Package engine is the client of model engines: chat completions, orders,
-// reports, cache events and cancels.
+// Package engine is the HTTP client of engines, the backend servers that serve models:
+// chat completions, orders, reports, cache events and cancellation.
+//
+// Client sends the requests, and Client.Chat returns a Stream, from which the caller
+// reads the answer. Both are used by the dispatch of requests and by the control loop.
+// The package starts no goroutines but those of net/http.
 //
 // # Usage
 //
@@ -14,15 +18,15 @@
 //	})
 //	var refusal *engine.Refusal
 //	if errors.As(err, &refusal) && refusal.ProvesNotRun() {
-//		// ask another engine
+//		// try another engine
 //	}
 //	defer stream.Close()
 //	for {
 //		event, err := stream.Next() // Chunk, Whole or End
 //	}
 //
-// Each answer is tied to its attempt: the engine echoes X-Attempt-Id and says
-// its X-Incarnation, and what does not match is ErrForeignAnswer.
+// Each answer is matched to its attempt: the engine echoes X-Attempt-Id and sends its
+// X-Incarnation. An answer that does not match fails with ErrForeignAnswer.
 package engine
 
 import (
@@ -42,46 +46,50 @@
 )
 
 const (
-	reportLimit      = 4 << 20
-	cacheEventsLimit = 4 << 20
-	orderAnswerLimit = 64 << 10
+	maxReportBytes      = 4 << 20
+	maxCacheEventsBytes = 4 << 20
+	maxOrderAnswerBytes = 64 << 10
 )
 
-// ErrForeignAnswer tells that an answer belongs to another attempt or another
-// life of the server than was asked. The request was sent and may have run.
+// ErrForeignAnswer says that an answer belongs to another attempt, or comes from
+// another incarnation of the server than the call asked for. The request was sent and
+// may have run.
 var ErrForeignAnswer = errors.New("answer of another attempt or incarnation")
 
-// Refusal is a chat that got no answer; see httpsend.
+// Refusal is a request without a usable answer; see httpsend.
 type Refusal = httpsend.Refusal
 
-// Client asks engines. The zero Client works.
+// Client sends requests to engines. The zero Client is ready to use; it is safe for
+// concurrent use.
 type Client struct {
 	http httpsend.Client
 }
 
-// Count counts what the connections carry. It comes before the first request.
-func (c *Client) Count(counted *meter.Meter) {
-	c.http.Meter = counted
+// Count makes the client count the bytes of its connections. It must be called before
+// the first request.
+func (c *Client) Count(connMeter *meter.Meter) {
+	c.http.Meter = connMeter
 }
 
 // Call is one chat completion request to one engine.
 type Call struct {
-	// Body is the request as the caller sent it, in the OpenAI form.
+	// Body is the request as the caller sent it, in the OpenAI format.
 	Body      []byte
 	RequestID ident.RequestID
 	AttemptID ident.AttemptID
-	// Incarnation is the life of the engine that is asked; empty takes any.
+	// Incarnation is the incarnation of the engine that must answer; empty accepts any.
 	Incarnation ident.Incarnation
-	// Priority 0 goes first.
+	// Priority orders the requests in the engine; 0 is the highest.
 	Priority int
-	// Deadline tells the engine until when the answer is of use. The call
-	// itself ends by its context only.
+	// Deadline tells the engine until when the answer is useful. The call itself ends
+	// only with its context.
 	Deadline time.Time
-	// ResumeAt counts the tokens that came before; the stream begins after them.
+	// ResumeAt is the number of tokens already received; the stream starts after them.
 	ResumeAt int
-	// Stream says whether Body asks for a stream.
+	// Stream says whether Body asks for a streamed answer.
 	Stream bool
-	// Once marks a request that may not be repeated: it gets a connection of its own.
+	// Once marks a request that must not be sent twice: it gets a connection of its
+	// own.
 	Once bool
 }
 
@@ -90,8 +98,8 @@
 	c.http.Close()
 }
 
-// Chat sends a request and returns when the answer begins. Its error is a
-// *Refusal or ErrForeignAnswer. The context rules the stream too.
+// Chat sends a request and returns when the header of the answer has arrived. Its error
+// is a *Refusal or ErrForeignAnswer. Cancelling the context ends the stream too.
 func (c *Client) Chat(ctx context.Context, address string, call Call) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	reply, err := c.http.Send(httpsend.Request{
@@ -107,7 +115,7 @@
 		cancel()
 		return nil, httpsend.Unanswered(reply, err)
 	}
-	if err := call.accept(reply.Response); err != nil {
+	if err := call.checkResponse(reply.Response); err != nil {
 		_ = reply.Response.Body.Close()
 		cancel()
 		return nil, err
@@ -130,17 +138,17 @@
 	return header
 }
 
-// accept checks that an answer is this call's and no refusal.
+// checkResponse checks that a response belongs to this call and is no refusal.
 //
-// It guards against an engine, or something before it, that mixes up answers:
-// a caller would read a neighbour's text, or a neighbour's "not run" would
-// send a dispatch twice. So the proof too counts only with this attempt's id.
-func (c *Call) accept(response *http.Response) error {
-	ours := response.Header.Get(engineapi.HeaderAttempt) == string(c.AttemptID)
+// It guards against an engine, or a proxy before it, that mixes up answers: a caller
+// would read another caller's text, or the "not run" of another attempt would let a
+// request run twice. So that proof, too, counts only with the id of this attempt.
+func (c *Call) checkResponse(response *http.Response) error {
+	matches := response.Header.Get(engineapi.HeaderAttempt) == string(c.AttemptID)
 	if response.StatusCode != http.StatusOK {
-		return httpsend.Refused(response, ours && httpsend.SaysNotRun(response))
+		return httpsend.Refused(response, matches && httpsend.SaysNotRun(response))
 	}
-	if !ours {
+	if !matches {
 		return errors.Wrapf(ErrForeignAnswer, "attempt %q answered as %q",
 			c.AttemptID, response.Header.Get(engineapi.HeaderAttempt))
 	}
@@ -151,15 +159,15 @@
 	return nil
 }
 
-// Cancel tells an engine that nobody waits for an attempt any more. It is a
-// hint: an attempt that the engine does not know is no error.
+// Cancel tells an engine that nobody waits for an attempt any more. It is a hint: an
+// attempt that the engine does not know is no error.
 func (c *Client) Cancel(ctx context.Context, address string, attempt ident.AttemptID) error {
 	status, _, err := c.http.Fetch(httpsend.Request{
 		Context: ctx,
 		Method:  http.MethodDelete,
 		Address: address,
 		Path:    engineapi.PathRequests + url.PathEscape(string(attempt)),
-	}, orderAnswerLimit)
+	}, maxOrderAnswerBytes)
 	if err != nil {
 		return err
 	}
@@ -169,28 +177,29 @@
 	return nil
 }
 
-// Report asks an engine for its word on itself.
+// Report fetches the report of an engine on its state.
 func (c *Client) Report(ctx context.Context, address string) (backend.Report, error) {
-	body, err := c.http.Get(ctx, address, engineapi.PathReport, reportLimit)
+	body, err := c.http.Get(ctx, address, engineapi.PathReport, maxReportBytes)
 	if err != nil {
 		return backend.Report{}, err
 	}
 	return engineapi.DecodeReport(body)
 }
 
-// CacheEvents asks for the cache events after a number.
+// CacheEvents fetches the cache events with numbers greater than after.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (engineapi.CacheEvents, error) {
 	path := engineapi.PathCacheEvents + "?after=" + strconv.FormatInt(after, 10)
-	body, err := c.http.Get(ctx, address, path, cacheEventsLimit)
+	body, err := c.http.Get(ctx, address, path, maxCacheEventsBytes)
 	if err != nil {
 		return engineapi.CacheEvents{}, err
 	}
 	return engineapi.DecodeCacheEvents(body)
 }
 
-// SendOrder gives an engine an order once. An error means that the order may
-// or may not have arrived, so that it can still take effect; not accepted,
-// with the reason, means that it never will.
+// SendOrder sends an order to an engine, once. The results are whether the engine
+// accepted the order, and its reason. After an error the order may or may not have
+// arrived, so that it can still take effect; an order that is not accepted never takes
+// effect.
 func (c *Client) SendOrder(ctx context.Context, address string, order backend.Order) (bool, string, error) {
 	body, err := engineapi.EncodeOrder(order)
 	if err != nil {
@@ -203,7 +212,7 @@
 		Path:    engineapi.PathOrders,
 		Body:    body,
 		Once:    true,
-	}, orderAnswerLimit)
+	}, maxOrderAnswerBytes)
 	if err != nil {
 		return false, "", err
 	}
--- a/internal/peer/engine/engine_test.go
+++ b/internal/peer/engine/engine_test.go
@@ -23,22 +23,22 @@
 )
 
 const (
-	patience = 10 * time.Second
-	tick     = 2 * time.Millisecond
+	testTimeout  = 10 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
-// bench is an engine with the model briefing ready, and a client of it.
-type bench struct {
+// testEngine is a simulated engine with the model briefing ready, and a client of it.
+type testEngine struct {
 	*standin.Engine
 	client  engine.Client
 	address string
 }
 
-func newBench(t *testing.T, options standin.Options) *bench {
+func newTestEngine(t *testing.T, options standin.Options) *testEngine {
 	options.FirstToken = time.Millisecond
 	options.PerToken = time.Millisecond
 	options.LoadDelay = time.Millisecond
-	b := &bench{
+	b := &testEngine{
 		Engine: standin.New(options),
 	}
 	var err error
@@ -61,11 +61,11 @@
 	require.Eventually(t, func() bool {
 		report, err := b.client.Report(context.Background(), b.address)
 		return err == nil && len(report.Settled) == 1 && report.Settled[0].Result == backend.OrderDone
-	}, patience, tick)
+	}, testTimeout, pollInterval)
 	return b
 }
 
-func call(attempt ident.AttemptID, tokens int, stream bool) engine.Call {
+func newCall(attempt ident.AttemptID, tokens int, stream bool) engine.Call {
 	body := `{"model":"briefing","stream":` + strconv.FormatBool(stream) + `,"max_tokens":` + strconv.Itoa(tokens) +
 		`,"messages":[{"role":"user","content":"drift at 8 km"}]}`
 	return engine.Call{
@@ -76,8 +76,9 @@
 	}
 }
 
-// read takes a stream to its end or error, and returns its text.
-func read(stream *engine.Stream) (string, int, error) {
+// readStream reads a stream up to its end or an error, and returns its text and token
+// count.
+func readStream(stream *engine.Stream) (string, int, error) {
 	var text strings.Builder
 	tokens := 0
 	for {
@@ -105,30 +106,30 @@
 	}
 }
 
-func (b *bench) chat(t *testing.T, call engine.Call) (string, int, error) {
+func (b *testEngine) chat(t *testing.T, call engine.Call) (string, int, error) {
 	stream, err := b.client.Chat(context.Background(), b.address, call)
 	require.NoError(t, err)
 	defer stream.Close()
-	return read(stream)
+	return readStream(stream)
 }
 
-func TestAnswersComeWhole(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	streamed, tokens, err := b.chat(t, call("att-1", 5, true))
+func TestStreamedAndWholeAnswersMatch(t *testing.T) {
+	b := newTestEngine(t, standin.Options{})
+	streamed, tokens, err := b.chat(t, newCall("att-1", 5, true))
 	require.NoError(t, err)
 	require.Equal(t, 5, tokens)
 	require.True(t, strings.HasPrefix(streamed, "briefing/3: echo of drift at 8 km w0-"), streamed)
-	whole, _, err := b.chat(t, call("att-2", 5, false))
+	whole, _, err := b.chat(t, newCall("att-2", 5, false))
 	require.NoError(t, err)
 	require.Equal(t, streamed, whole)
 	require.Equal(t, 2, b.Stats().Runs["req-1"])
 }
 
-// A crew reads half a drift briefing as if it were all of it. The engine died,
-// or ended its answer in order but early, and its host took the end of the
-// connection for the end of the answer.
-func TestAnAnswerWithoutItsEndIsNoAnswer(t *testing.T) {
-	b := newBench(t, standin.Options{})
+// An engine crashes, or ends its answer early without an error. If the client took the
+// end of the connection for the end of the answer, the caller would take a part of the
+// text for all of it.
+func TestIncompleteAnswersAreErrors(t *testing.T) {
+	b := newTestEngine(t, standin.Options{})
 	for _, c := range []struct {
 		name   string
 		faults standin.Faults
@@ -142,7 +143,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b.Faults.Set(c.faults)
-			_, tokens, err := b.chat(t, call("att-1", 9, c.stream))
+			_, tokens, err := b.chat(t, newCall("att-1", 9, c.stream))
 			require.ErrorIs(t, err, c.want)
 			if c.stream {
 				require.Equal(t, 3, tokens)
@@ -151,45 +152,45 @@
 	}
 }
 
-// A briefing shows a passage twice, or lacks one, after an engine died in
-// mid-answer: the host resumed the stream at the wrong token.
-func TestAResumedStreamFitsItsBeginning(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	whole, _, err := b.chat(t, call("att-1", 9, true))
+// An engine crashes in the middle of an answer and the stream is resumed. If it resumed
+// at the wrong token, the text would repeat or lack a passage.
+func TestResumedStreamContinuesAtToken(t *testing.T) {
+	b := newTestEngine(t, standin.Options{})
+	whole, _, err := b.chat(t, newCall("att-1", 9, true))
 	require.NoError(t, err)
 	b.Faults.Set(standin.Faults{
 		CutStreamAfter: 4,
 	})
-	begun, tokens, err := b.chat(t, call("att-2", 9, true))
+	beginning, tokens, err := b.chat(t, newCall("att-2", 9, true))
 	require.ErrorIs(t, err, engine.ErrCutStream)
 	b.Faults.Set(standin.Faults{})
-	resumed := call("att-3", 9, true)
+	resumed := newCall("att-3", 9, true)
 	resumed.ResumeAt = tokens
 	rest, tokens, err := b.chat(t, resumed)
 	require.NoError(t, err)
 	require.Equal(t, 9, tokens)
-	require.Equal(t, whole, begun+rest)
+	require.Equal(t, whole, beginning+rest)
 }
 
-// fake answers each request as the handler says.
-func fake(t *testing.T, handler http.HandlerFunc) string {
+// startServer starts an HTTP server with the handler and returns its address.
+func startServer(t *testing.T, handler http.HandlerFunc) string {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-// A caller reads its neighbour's answer. The engine mixed up two answers that
-// were late, or a new process at the same address answers for the dead one.
-func TestAForeignAnswerIsRefused(t *testing.T) {
+// An engine mixes up two late answers, or a new process at the same address answers for
+// a crashed one. A caller would read another caller's answer.
+func TestMismatchedAnswersAreRejected(t *testing.T) {
 	var client engine.Client
 	defer client.Close()
-	address := fake(t, func(w http.ResponseWriter, _ *http.Request) {
+	address := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(engineapi.HeaderAttempt, "att-1")
 		w.Header().Set(engineapi.HeaderIncarnation, "inc-2")
 	})
-	_, err := client.Chat(context.Background(), address, call("att-2", 1, true))
+	_, err := client.Chat(context.Background(), address, newCall("att-2", 1, true))
 	require.ErrorIs(t, err, engine.ErrForeignAnswer)
-	earlier := call("att-1", 1, true)
+	earlier := newCall("att-1", 1, true)
 	earlier.Incarnation = "inc-1"
 	_, err = client.Chat(context.Background(), address, earlier)
 	require.ErrorIs(t, err, engine.ErrForeignAnswer)
@@ -200,12 +201,12 @@
 	stream.Close()
 }
 
-// A dispatch goes out twice: its host took another attempt's "not run" for
-// its own and tried again.
-func TestProofIsForItsOwnAttempt(t *testing.T) {
+// A response carries the "not run" of another attempt. If the client took it for its
+// own, the request would be retried and run twice.
+func TestNotRunProofCountsForOwnAttemptOnly(t *testing.T) {
 	var client engine.Client
 	defer client.Close()
-	address := fake(t, func(w http.ResponseWriter, r *http.Request) {
+	address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		w.Header().Set(engineapi.HeaderAttempt, "att-1")
 		w.Header().Set(engineapi.HeaderNotRun, engineapi.NotRunProof)
@@ -213,7 +214,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	for attempt, proven := range map[ident.AttemptID]bool{"att-1": true, "att-2": false} {
-		_, err := client.Chat(context.Background(), address, call(attempt, 1, true))
+		_, err := client.Chat(context.Background(), address, newCall(attempt, 1, true))
 		var refusal *engine.Refusal
 		require.True(t, errors.As(err, &refusal))
 		require.Equal(t, http.StatusServiceUnavailable, refusal.Status)
@@ -223,11 +224,11 @@
 	}
 }
 
-func TestRefusalsSayWhetherSent(t *testing.T) {
-	b := newBench(t, standin.Options{})
+func TestRefusalsReportWhetherRequestWasRun(t *testing.T) {
+	b := newTestEngine(t, standin.Options{})
 	var refusal *engine.Refusal
 
-	unknown := call("att-1", 1, true)
+	unknown := newCall("att-1", 1, true)
 	unknown.Body = []byte(`{"model":"nobody"}`)
 	_, err := b.client.Chat(context.Background(), b.address, unknown)
 	require.True(t, errors.As(err, &refusal))
@@ -237,22 +238,22 @@
 	b.Faults.Set(standin.Faults{
 		Down: true,
 	})
-	_, err = b.client.Chat(context.Background(), b.address, call("att-2", 1, true))
+	_, err = b.client.Chat(context.Background(), b.address, newCall("att-2", 1, true))
 	require.True(t, errors.As(err, &refusal))
 	require.Zero(t, refusal.Status)
-	require.False(t, refusal.ProvesNotRun(), "a connection came about")
+	require.False(t, refusal.ProvesNotRun(), "a connection was established")
 
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	free.Close()
-	_, err = b.client.Chat(context.Background(), free.Addr().String(), call("att-3", 1, true))
+	_, err = b.client.Chat(context.Background(), free.Addr().String(), newCall("att-3", 1, true))
 	require.True(t, errors.As(err, &refusal))
 	require.True(t, refusal.ProvesNotRun(), "connection refused")
 }
 
-// A host's memory grows without end under an engine out of order, or its
-// caller gets a chunk that is not the API's.
-func TestStreamsOfAnotherFormBreak(t *testing.T) {
+// A faulty engine sends an event without end, which would use up the host's memory, or
+// a chunk in a format that the API does not have.
+func TestMalformedStreamsAreErrors(t *testing.T) {
 	var client engine.Client
 	defer client.Close()
 	const chunk = `{"object":"chat.completion.chunk","choices":[{"delta":{"content":"a"}}]}`
@@ -269,66 +270,66 @@
 		{"chunk cut", engineapi.ContentTypeStream, "data: " + chunk[:20], engine.ErrCutStream},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			address := fake(t, func(w http.ResponseWriter, r *http.Request) {
+			address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 				io.Copy(io.Discard, r.Body)
 				w.Header().Set(engineapi.HeaderAttempt, "att-1")
 				w.Header().Set("Content-Type", c.kind)
 				io.WriteString(w, c.body)
 			})
-			stream, err := client.Chat(context.Background(), address, call("att-1", 1, true))
+			stream, err := client.Chat(context.Background(), address, newCall("att-1", 1, true))
 			require.NoError(t, err)
 			defer stream.Close()
-			_, _, err = read(stream)
+			_, _, err = readStream(stream)
 			require.ErrorIs(t, err, c.want)
 			_, again := stream.Next()
-			require.Equal(t, err, again, "an error stays")
+			require.Equal(t, err, again, "later calls return the same error")
 		})
 	}
 }
 
-// Engines go on generating for callers that hung up, and have no slots for
-// those that wait.
-func TestCloseCancelsAtTheEngine(t *testing.T) {
-	b := newBench(t, standin.Options{})
-	stream, err := b.client.Chat(context.Background(), b.address, call("att-1", 4000, true))
+// Engines must not go on generating for callers that have disconnected: the slots would
+// be missing for waiting requests.
+func TestCloseCancelsRequestAtEngine(t *testing.T) {
+	b := newTestEngine(t, standin.Options{})
+	stream, err := b.client.Chat(context.Background(), b.address, newCall("att-1", 4000, true))
 	require.NoError(t, err)
 	_, err = stream.Next()
 	require.NoError(t, err)
 	stream.Close()
 	_, err = stream.Next()
 	require.ErrorIs(t, err, context.Canceled)
-	require.Eventually(t, func() bool { return b.Stats().Cancelled == 1 }, patience, tick)
+	require.Eventually(t, func() bool { return b.Stats().Cancelled == 1 }, testTimeout, pollInterval)
 
-	stream, err = b.client.Chat(context.Background(), b.address, call("att-2", 4000, true))
+	stream, err = b.client.Chat(context.Background(), b.address, newCall("att-2", 4000, true))
 	require.NoError(t, err)
 	require.NoError(t, b.client.Cancel(context.Background(), b.address, "att-2"))
-	_, _, err = read(stream)
+	_, _, err = readStream(stream)
 	require.ErrorIs(t, err, engine.ErrCutStream)
 	stream.Close()
 	require.NoError(t, b.client.Cancel(context.Background(), b.address, "att-2"), "unknown attempts are no error")
-	require.Eventually(t, func() bool { return b.Stats().Cancelled == 2 }, patience, tick)
+	require.Eventually(t, func() bool { return b.Stats().Cancelled == 2 }, testTimeout, pollInterval)
 }
 
-// Each request pays a connection set-up over the slow link, since the host
-// closes a stream before the last bytes of its HTTP body.
-func TestAWholeStreamLeavesItsConnection(t *testing.T) {
+// If Close came before the last bytes of the HTTP body were read, each request would
+// need a new connection over a slow link.
+func TestCompletedStreamKeepsItsConnection(t *testing.T) {
 	var client engine.Client
 	defer client.Close()
 	connections := make(map[string]int)
 	ended := make(chan struct{})
-	address := fake(t, func(w http.ResponseWriter, r *http.Request) {
+	address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		connections[r.RemoteAddr]++
 		io.Copy(io.Discard, r.Body)
 		w.Header().Set(engineapi.HeaderAttempt, "att-1")
 		w.Header().Set("Content-Type", engineapi.ContentTypeStream)
 		io.WriteString(w, "data: [DONE]\n\n")
 		http.NewResponseController(w).Flush()
-		<-ended // so that the body's end comes after the end mark was read
+		<-ended // the body ends only after the client has read the end marker
 	})
 	for range 5 {
-		stream, err := client.Chat(context.Background(), address, call("att-1", 1, true))
+		stream, err := client.Chat(context.Background(), address, newCall("att-1", 1, true))
 		require.NoError(t, err)
-		_, _, err = read(stream)
+		_, _, err = readStream(stream)
 		require.NoError(t, err)
 		ended <- struct{}{}
 		stream.Close()
@@ -336,9 +337,9 @@
 	require.Len(t, connections, 1)
 }
 
-// A planner frees memory that a lost or late order still takes: it held an
-// order for refused whose answer it never got.
-func TestAnOrderWithoutAnswerIsInDoubt(t *testing.T) {
+// An order whose answer was lost may still be carried out. If it counted as refused,
+// the planner would use memory that the order takes.
+func TestOrderWithoutAnswerIsAnError(t *testing.T) {
 	var client engine.Client
 	defer client.Close()
 	order := backend.Order{
@@ -358,7 +359,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, _, err := client.SendOrder(context.Background(), fake(t, c.answer), order)
+			_, _, err := client.SendOrder(context.Background(), startServer(t, c.answer), order)
 			require.Error(t, err)
 		})
 	}
--- a/internal/peer/engine/stream.go
+++ b/internal/peer/engine/stream.go
@@ -20,22 +20,23 @@
 )
 
 const (
-	// eventLimit bounds one event of a stream, wholeLimit an answer that is none.
-	eventLimit = 256 << 10
-	wholeLimit = 8 << 20
-	// tailLimit and tailTimeout bound what Close reads after a whole stream, so
-	// that its connection can be used again.
-	tailLimit   = 4 << 10
-	tailTimeout = 200 * time.Millisecond
+	// maxEventBytes limits one event of a stream, maxWholeBytes an answer that is not
+	// streamed.
+	maxEventBytes = 256 << 10
+	maxWholeBytes = 8 << 20
+	// maxTailBytes and tailTimeout limit what Close reads after the end of a stream to
+	// make its connection reusable.
+	maxTailBytes = 4 << 10
+	tailTimeout  = 200 * time.Millisecond
 )
 
-// The ways in which an answer that began can fail. After each the request may
-// have run.
+// Failures of an answer that has started. After each of them the request may have
+// run.
 var (
-	// ErrCutStream tells that the answer ended before its end mark. What came
-	// before it holds, so the stream can be resumed.
+	// ErrCutStream says that the answer ended without its end marker. The part that
+	// arrived is valid, so the stream can be resumed.
 	ErrCutStream = errors.New("answer cut before its end")
-	// ErrBrokenStream tells that the answer is not of the agreed form.
+	// ErrBrokenStream says that the answer does not follow the protocol.
 	ErrBrokenStream = errors.New("answer malformed")
 )
 
@@ -44,47 +45,47 @@
 	event()
 }
 
-// Chunk is one chunk of a stream, to be passed on as it is.
+// Chunk is one chunk of a streamed answer, to be forwarded unchanged.
 type Chunk struct {
 	Raw []byte
-	// Tokens counts the tokens of the answer up to and with this chunk, those
-	// before ResumeAt among them. Engines send one token a chunk.
+	// Tokens counts the tokens of the answer up to and including this chunk, and those
+	// before ResumeAt. Engines send one token per chunk.
 	Tokens int
-	// First marks the first token of this stream, Last the chunk that says why
+	// First marks the first token of this stream, Last the chunk with the reason why
 	// the answer ends.
 	First bool
 	Last  bool
 }
 
-// Whole is an answer in one piece.
+// Whole is an answer that is not streamed.
 type Whole struct {
 	Raw    []byte
 	Tokens unit.Tokens
 }
 
-// End tells that the answer came whole.
+// End says that the answer is complete.
 type End struct{}
 
 func (Chunk) event() {}
 func (Whole) event() {}
 func (End) event()   {}
 
-// Stream is an answer as it comes. Next is for one goroutine; Close may come
-// from any, also while Next waits.
+// Stream reads one answer. Next must be called by one goroutine at a time; Close may be
+// called by any goroutine, also while Next waits.
 type Stream struct {
 	ctx         context.Context
 	cancel      context.CancelFunc
 	response    *http.Response
 	incarnation ident.Incarnation
-	streamed    bool
-
-	mu       sync.Mutex // held while Next or Close use what follows
-	pull     func() (sse.Event, error, bool)
-	stop     func()
-	tokens   int
-	started  bool
-	answered bool
-	done     error
+	isStreamed  bool
+
+	mu                 sync.Mutex // guards the fields below
+	pull               func() (sse.Event, error, bool)
+	stop               func()
+	tokens             int
+	contentTypeChecked bool
+	contentReceived    bool
+	finalErr           error
 }
 
 func newStream(ctx context.Context, cancel context.CancelFunc, response *http.Response, call *Call) *Stream {
@@ -93,67 +94,68 @@
 		cancel:      cancel,
 		response:    response,
 		incarnation: ident.Incarnation(response.Header.Get(engineapi.HeaderIncarnation)),
-		streamed:    call.Stream,
+		isStreamed:  call.Stream,
 		tokens:      call.ResumeAt,
 	}
 	events := sse.Read(response.Body, &sse.ReadConfig{
-		MaxEventSize: eventLimit,
+		MaxEventSize: maxEventBytes,
 	})
 	stream.pull, stream.stop = iter.Pull2(iter.Seq2[sse.Event, error](events))
 	return stream
 }
 
-// Incarnation is the life of the engine that answers.
+// Incarnation returns the incarnation of the engine that answers.
 func (s *Stream) Incarnation() ident.Incarnation {
 	return s.incarnation
 }
 
-// Next waits for the next event. After End it returns io.EOF; after an error,
-// which is ErrCutStream, ErrBrokenStream or the context's, that error again.
+// Next waits for the next event. After End it returns io.EOF. An error wraps
+// ErrCutStream, ErrBrokenStream or the cause of the cancelled context; every later call
+// returns the same error.
 func (s *Stream) Next() (Event, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.done != nil {
-		return nil, s.done
+	if s.finalErr != nil {
+		return nil, s.finalErr
 	}
 	event, err := s.next()
 	if err != nil {
-		s.done = err
+		s.finalErr = err
 		return nil, err
 	}
-	if _, end := event.(End); end {
-		s.done = io.EOF
+	if _, isEnd := event.(End); isEnd {
+		s.finalErr = io.EOF
 	}
 	return event, nil
 }
 
 func (s *Stream) next() (Event, error) {
-	if !s.streamed {
+	if !s.isStreamed {
 		return s.nextWhole()
 	}
-	if !s.started {
-		s.started = true
-		if kind := s.response.Header.Get("Content-Type"); !strings.HasPrefix(kind, engineapi.ContentTypeStream) {
-			return nil, errors.Wrapf(ErrBrokenStream, "content type %q", kind)
+	if !s.contentTypeChecked {
+		s.contentTypeChecked = true
+		if contentType := s.response.Header.Get("Content-Type"); !strings.HasPrefix(contentType, engineapi.ContentTypeStream) {
+			return nil, errors.Wrapf(ErrBrokenStream, "content type %q", contentType)
 		}
 	}
 	event, err, more := s.pull()
 	if err != nil {
-		return nil, s.fault(err)
+		return nil, s.classifyReadError(err)
 	}
 	if !more {
-		// The guard against an answer that ends early without any error: a server
-		// that stops in order closes the connection just so. Only the end mark,
-		// which the engine writes after the last token, makes a stream whole.
+		// Guards against an answer that ends early without an error: a server that
+		// shuts down closes its connections in the same way. Only the end marker,
+		// which the engine writes after the last token, makes a stream complete.
 		return nil, errors.Wrap(ErrCutStream, "no end mark")
 	}
 	if event.Data == engineapi.StreamEnd {
 		return End{}, nil
 	}
-	return s.chunk([]byte(event.Data))
+	return s.newChunk([]byte(event.Data))
 }
 
-func (s *Stream) chunk(raw []byte) (Event, error) {
+func (s *Stream) newChunk(raw []byte) (Event, error) {
 	parsed, err := engineapi.ParseChunk(raw)
 	if err != nil {
 		return nil, errors.Wrap(ErrBrokenStream, err.Error())
@@ -163,8 +165,8 @@
 		Last: parsed.Finished,
 	}
 	if parsed.Text != "" {
-		chunk.First = !s.answered
-		s.answered = true
+		chunk.First = !s.contentReceived
+		s.contentReceived = true
 		s.tokens++
 	}
 	chunk.Tokens = s.tokens
@@ -172,27 +174,27 @@
 }
 
 func (s *Stream) nextWhole() (Event, error) {
-	if s.answered {
+	if s.contentReceived {
 		return End{}, nil
 	}
-	body, err := httpsend.ReadBody(s.response.Body, wholeLimit)
+	body, err := httpsend.ReadBody(s.response.Body, maxWholeBytes)
 	if err != nil {
-		return nil, s.fault(err)
+		return nil, s.classifyReadError(err)
 	}
 	_, usage, err := engineapi.ParseWhole(body)
 	if err != nil {
 		return nil, errors.Wrap(ErrBrokenStream, err.Error())
 	}
-	s.answered = true
+	s.contentReceived = true
 	return Whole{
 		Raw:    body,
 		Tokens: unit.Tokens(usage.Completion),
 	}, nil
 }
 
-// fault sorts an error of reading: our own cancel, an answer over its bound,
-// or a cut.
-func (s *Stream) fault(err error) error {
+// classifyReadError wraps a read error by its cause: the cancelled context, an answer
+// over its size limit, or a lost connection.
+func (s *Stream) classifyReadError(err error) error {
 	if s.ctx.Err() != nil {
 		return errors.Wrap(context.Cause(s.ctx), "answer given up")
 	}
@@ -202,31 +204,30 @@
 	return errors.Wrap(ErrCutStream, err.Error())
 }
 
-// Close ends the answer. Before End it cancels the request at the engine, by
-// closing the connection.
+// Close releases the answer. Before End it cancels the request at the engine by closing
+// the connection.
 func (s *Stream) Close() {
 	if !s.mu.TryLock() {
-		// Next is waiting for the engine: only the cancel wakes it.
+		// Next waits for the engine; only the cancellation wakes it.
 		s.cancel()
 		s.mu.Lock()
 	}
 	defer s.mu.Unlock()
-	if errors.Is(s.done, io.EOF) {
+	if errors.Is(s.finalErr, io.EOF) {
 		s.readTail()
 	}
 	s.cancel()
 	_ = s.response.Body.Close()
 	s.stop()
-	if s.done == nil {
-		s.done = errors.Wrap(context.Canceled, "answer given up")
+	if s.finalErr == nil {
+		s.finalErr = errors.Wrap(context.Canceled, "answer given up")
 	}
 }
 
-// readTail reads the few bytes after the end mark that close the HTTP body.
-// Without them the transport drops the connection, and each request would pay
-// for a new one.
+// readTail reads the last bytes of the HTTP body after the end marker. Without them the
+// transport closes the connection, and each request would pay for a new one.
 func (s *Stream) readTail() {
 	timer := time.AfterFunc(tailTimeout, s.cancel)
 	defer timer.Stop()
-	_, _ = io.CopyN(io.Discard, s.response.Body, tailLimit)
+	_, _ = io.CopyN(io.Discard, s.response.Body, maxTailBytes)
 }
