--- a/internal/peer/caller/caller.go
+++ b/internal/peer/caller/caller.go
@@ -1,13 +1,17 @@
-// Package caller is the side that callers see: the OpenAI-compatible API for
-// models and adapters, and plain services under a path of their own.
+// Package caller is the HTTP server for callers: the OpenAI-compatible API for models
+// and adapters, and plain services under a path of their own.
 //
-//	POST /v1/chat/completions   a chat, streamed by server-sent events or whole
+//	POST /v1/chat/completions   a chat completion, streamed by server-sent events or whole
 //	GET  /v1/models             all models and adapters that teams declare
 //	ANY  /services/NAME/PATH    a request to the plain service NAME
 //
-// A request says what it needs in headers; docs/API.md has them all. Errors are
-// JSON in the form that the OpenAI clients read, with the additions Run,
-// whether the request was run, and RetryAt.
+// Server parses and limits each request and passes it to a Dispatcher, which writes the
+// answer through a sink. Each request runs in a goroutine of net/http; the methods of
+// Server are safe for concurrent use after Start.
+//
+// Requests carry their options in headers; docs/API.md lists them. Errors are JSON in
+// the format of the OpenAI API, with two additions: Run, whether the request was run,
+// and RetryAt.
 //
 // # Usage
 //
@@ -19,12 +23,12 @@
 //	}
 //	address, err := server.Start("127.0.0.1:8080")
 //	...
-//	err = server.Stop(ctx) // lets what is in flight finish
+//	err = server.Stop(ctx) // waits for the requests in flight
 //
 // # Source
 //
-// The chat API is the published one of OpenAI; the retry headers are those that
-// its clients obey (Retry-After, Retry-After-Ms, X-Should-Retry).
+// The chat API is the published OpenAI API. The retry headers are those that its
+// clients obey (Retry-After, Retry-After-Ms, X-Should-Retry).
 package caller
 
 import (
@@ -51,41 +55,42 @@
 	PathServices = "/services/"
 )
 
-// Dispatcher serves what the handlers have understood.
+// Dispatcher serves parsed requests.
 type Dispatcher interface {
 	Chat(ctx context.Context, chat dispatch.Chat, sink dispatch.Sink) *dispatch.Failure
 	Plain(ctx context.Context, plain dispatch.Plain, sink dispatch.Sink) *dispatch.Failure
 }
 
-// Server answers callers. All fields but TLS and Decisions must be set.
+// Server answers callers. All fields but TLS, Decisions and Now must be set.
 type Server struct {
 	Dispatcher Dispatcher
 	Knowledge  dispatch.Knowledge
 	Settings   settings.Callers
 	Log        *zap.Logger
-	// Decisions keeps refusals for those who ask why; nil keeps none.
+	// Decisions records refused requests, so that operators can look them up; nil
+	// records none.
 	Decisions *decisions.Log
 	TLS       *tls.Config
 	// Now is the wall clock; time.Now unless a test sets it.
 	Now func() time.Time
 
 	http httpserve.Server
-	// patience is how long a caller may take to read one piece of an answer;
-	// writePatience unless a test sets it.
-	patience time.Duration
-	inFlight atomic.Int64
-	stopping atomic.Bool
-	lameDuck atomic.Bool
+	// writeTimeout is how long a caller may take to read one piece of an answer;
+	// defaultWriteTimeout unless a test sets it.
+	writeTimeout time.Duration
+	inFlight     atomic.Int64
+	isRefusing   atomic.Bool
+	isLeaving    atomic.Bool
 }
 
-// Start listens at an address ("ip:port"; port 0 takes any) and gives the
-// address that it got.
+// Start listens at an address ("ip:port"; port 0 takes any free one) and returns the
+// bound address.
 func (s *Server) Start(address string) (string, error) {
 	if s.Now == nil {
 		s.Now = time.Now
 	}
-	if s.patience == 0 {
-		s.patience = writePatience
+	if s.writeTimeout == 0 {
+		s.writeTimeout = defaultWriteTimeout
 	}
 	bound, err := s.http.Start(address, httpserve.Options{
 		Handler: s.routes(),
@@ -95,30 +100,31 @@
 	return bound, errors.Wrap(err, "callers")
 }
 
-// Refuse makes the server refuse new requests with "not run" while those in
-// flight go on. The platform's balancer sees it at its next request.
+// Refuse makes the server refuse new requests as "not run" while those in flight go on.
+// The health check fails too, which takes the host out of the platform's load balancer.
 func (s *Server) Refuse() {
-	s.stopping.Store(true)
+	s.isRefusing.Store(true)
 }
 
-// Leave makes the health page say that the host stops, while it serves on.
+// Leave makes the health check fail while requests are still served, so that the load
+// balancer stops sending new ones first.
 func (s *Server) Leave() {
-	s.lameDuck.Store(true)
+	s.isLeaving.Store(true)
 }
 
-// Admit takes Refuse back.
+// Admit undoes Refuse.
 func (s *Server) Admit() {
-	s.stopping.Store(false)
+	s.isRefusing.Store(false)
 }
 
-// Stop refuses new requests, lets those in flight finish, and ends when the
-// last has its answer or the context is done.
+// Stop refuses new requests and waits until those in flight have finished or the
+// context is done.
 func (s *Server) Stop(ctx context.Context) error {
 	s.Refuse()
 	return s.http.Stop(ctx)
 }
 
-// InFlight gives the number of requests under way.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int64 {
 	return s.inFlight.Load()
 }
@@ -128,18 +134,18 @@
 		bunrouter.WithNotFoundHandler(s.notFound),
 		bunrouter.WithMethodNotAllowedHandler(s.notFound),
 	)
-	router.POST(PathChat, s.admitted(s.chat))
+	router.POST(PathChat, s.limitInFlight(s.chat))
 	router.GET(PathModels, s.models)
 	router.GET("/healthz", s.health)
-	for _, method := range methods {
-		router.Handle(method, PathServices+":service", s.admitted(s.service))
-		router.Handle(method, PathServices+":service/*path", s.admitted(s.service))
+	for _, method := range serviceMethods {
+		router.Handle(method, PathServices+":service", s.limitInFlight(s.service))
+		router.Handle(method, PathServices+":service/*path", s.limitInFlight(s.service))
 	}
 	return router
 }
 
-// methods are those that a plain service can be asked with.
-var methods = []string{
+// serviceMethods are the methods that are forwarded to plain services.
+var serviceMethods = []string{
 	http.MethodGet,
 	http.MethodHead,
 	http.MethodPost,
@@ -149,17 +155,17 @@
 	http.MethodOptions,
 }
 
-// admitted counts the requests in flight and refuses those over the bound:
-// memory is bounded by it, whatever callers do.
-func (s *Server) admitted(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
+// limitInFlight counts the requests in flight and refuses those over the limit, which
+// bounds the memory that callers can take.
+func (s *Server) limitInFlight(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, request bunrouter.Request) error {
-		if s.stopping.Load() {
+		if s.isRefusing.Load() {
 			w.Header().Set("Connection", "close")
-			return s.turnAwayUnread(w, request.Request, dispatch.Untouched(dispatch.CodeStopping, "this host is stopping; ask another", s.Now()))
+			return s.rejectUnread(w, request.Request, dispatch.Untouched(dispatch.CodeStopping, "this host is stopping; ask another", s.Now()))
 		}
 		defer s.inFlight.Add(-1)
 		if s.inFlight.Add(1) > int64(s.Settings.MaxInFlight) {
-			return s.turnAwayUnread(w, request.Request, dispatch.Untouched(dispatch.CodeTooBusy, "too many requests in flight at this host", s.Now().Add(time.Second)))
+			return s.rejectUnread(w, request.Request, dispatch.Untouched(dispatch.CodeTooBusy, "too many requests in flight at this host", s.Now().Add(time.Second)))
 		}
 		return next(w, request)
 	}
@@ -169,10 +175,10 @@
 	return s.refuse(w, dispatch.CodeNotFound, "nothing is served at "+request.Method+" "+request.URL.Path, time.Time{})
 }
 
-// health tells the platform's balancer whether to send callers here.
+// health tells the platform's load balancer whether to send requests to this host.
 func (s *Server) health(w http.ResponseWriter, _ bunrouter.Request) error {
 	switch {
-	case s.stopping.Load() || s.lameDuck.Load():
+	case s.isRefusing.Load() || s.isLeaving.Load():
 		return s.refuse(w, dispatch.CodeStopping, "this host is stopping", s.Now())
 	case s.Knowledge.Table() == nil:
 		return s.refuse(w, dispatch.CodeNoReplica, "this host has not learnt the documents yet", s.Now().Add(time.Second))
--- a/internal/peer/caller/errors.go
+++ b/internal/peer/caller/errors.go
@@ -11,12 +11,13 @@
 	"cicadaloom/internal/traffic/dispatch"
 )
 
-// Types of errors, as the OpenAI API names them.
+// Error types of the OpenAI API.
 const (
 	typeInvalid = "invalid_request_error"
 	typeServer  = "server_error"
 )
 
+// encodeFailure encodes a failure as the error object of the OpenAI API.
 func encodeFailure(failure *dispatch.Failure) []byte {
 	detail := errorDetail{
 		Message: failure.Message,
@@ -37,8 +38,8 @@
 	return body
 }
 
-// fail answers with a failure. Clients that repeat by themselves are told when,
-// or not to.
+// fail answers with a failure. Headers tell clients that retry by themselves when to do
+// so, or not to.
 func (s *Server) fail(w http.ResponseWriter, failure *dispatch.Failure) error {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -56,30 +57,30 @@
 	return err
 }
 
-// refuse answers a request of which nothing was sent.
+// refuse answers a request of which nothing was sent to a backend server.
 func (s *Server) refuse(w http.ResponseWriter, code dispatch.Code, message string, retryAt time.Time) error {
 	return s.fail(w, dispatch.Untouched(code, message, retryAt))
 }
 
-// turnAway answers a request that was refused before it came to the dispatcher,
-// and records it.
-func (s *Server) turnAway(w http.ResponseWriter, read *dispatch.Request, target string, failure *dispatch.Failure) error {
-	w.Header().Set(HeaderRequest, string(read.ID))
+// reject answers a request that was refused before it reached the dispatcher, and
+// records the refusal.
+func (s *Server) reject(w http.ResponseWriter, incoming *dispatch.Request, target string, failure *dispatch.Failure) error {
+	w.Header().Set(HeaderRequest, string(incoming.ID))
 	records := dispatch.Records{
 		Log:       s.Log,
 		Decisions: s.Decisions,
 	}
-	about := read.About(target)
-	records.Failed(s.Now(), &about, failure)
+	subject := incoming.About(target)
+	records.Failed(s.Now(), &subject, failure)
 	return s.fail(w, failure)
 }
 
-// turnAwayUnread does so with a request of which nothing has been read but its
-// id, where that is in order: the answer has to cost little.
-func (s *Server) turnAwayUnread(w http.ResponseWriter, request *http.Request, failure *dispatch.Failure) error {
-	read := dispatch.Request{}
-	if err := readIdentifier(request.Header, HeaderRequest, (*string)(&read.ID)); err != nil || read.ID == "" {
-		read.ID = ident.NewRequestID()
+// rejectUnread is reject for a request of which only the request id is read, and that
+// only if it is valid: refusing under overload must be cheap.
+func (s *Server) rejectUnread(w http.ResponseWriter, request *http.Request, failure *dispatch.Failure) error {
+	incoming := dispatch.Request{}
+	if err := readIdentifier(request.Header, HeaderRequest, (*string)(&incoming.ID)); err != nil || incoming.ID == "" {
+		incoming.ID = ident.NewRequestID()
 	}
-	return s.turnAway(w, &read, "", failure)
+	return s.reject(w, &incoming, "", failure)
 }
--- a/internal/peer/caller/models.go
+++ b/internal/peer/caller/models.go
@@ -7,7 +7,7 @@
 	"github.com/uptrace/bunrouter"
 )
 
-// models lists every model and adapter in force at this host.
+// models lists all models and adapters that the current documents of this host declare.
 func (s *Server) models(w http.ResponseWriter, _ bunrouter.Request) error {
 	list := modelList{
 		Object: "list",
--- a/internal/peer/caller/sink.go
+++ b/internal/peer/caller/sink.go
@@ -10,21 +10,21 @@
 	"cicadaloom/internal/traffic/dispatch"
 )
 
-// Parts of a server-sent event.
+// Framing of server-sent events.
 const (
-	eventStart = "data: "
-	eventEnd   = "\n\n"
-	streamEnd  = "data: [DONE]\n\n"
+	eventPrefix = "data: "
+	eventSuffix = "\n\n"
+	streamEnd   = "data: [DONE]\n\n"
 )
 
-// sink writes one answer to one caller.
+// sink writes one answer to one caller. It implements dispatch.Sink.
 type sink struct {
-	server  *Server
-	writer  http.ResponseWriter
-	flusher *http.ResponseController
-	request ident.RequestID
-	begun   bool
-	whole   bool
+	server       *Server
+	writer       http.ResponseWriter
+	flusher      *http.ResponseController
+	request      ident.RequestID
+	started      bool
+	wholeWritten bool
 }
 
 func newSink(server *Server, writer http.ResponseWriter, request ident.RequestID) *sink {
@@ -38,7 +38,7 @@
 
 // Begin implements dispatch.Sink.
 func (s *sink) Begin() {
-	s.begun = true
+	s.started = true
 	header := s.writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
@@ -47,25 +47,26 @@
 
 // Chunk implements dispatch.Sink.
 func (s *sink) Chunk(data []byte) error {
-	event := make([]byte, 0, len(eventStart)+len(data)+len(eventEnd))
-	event = append(event, eventStart...)
+	event := make([]byte, 0, len(eventPrefix)+len(data)+len(eventSuffix))
+	event = append(event, eventPrefix...)
 	event = append(event, data...)
-	event = append(event, eventEnd...)
+	event = append(event, eventSuffix...)
 	return s.write(event)
 }
 
-// writePatience is how long a caller may take to read what is written to it. One
-// that has stopped reading, and keeps its connection, would hold its request and
-// with it the host's planned stop for ever.
+// defaultWriteTimeout is how long a caller may take to read what is written to it.
+// Without a limit a caller that stops reading and keeps its connection would hold its
+// request for ever, and with it the shutdown of the host.
 const (
-	writePatience = 30 * time.Second
-	// slowestReader is how many bytes a second a caller must take.
-	slowestReader = 16 << 10
+	defaultWriteTimeout = 30 * time.Second
+	// minBytesPerSecond is the slowest rate at which a caller may read: the timeout
+	// grows by a second for each such number of bytes.
+	minBytesPerSecond = 16 << 10
 )
 
 func (s *sink) write(data []byte) error {
-	patience := s.server.patience + time.Duration(len(data)/slowestReader)*time.Second
-	if err := s.flusher.SetWriteDeadline(time.Now().Add(patience)); err != nil {
+	timeout := s.server.writeTimeout + time.Duration(len(data)/minBytesPerSecond)*time.Second
+	if err := s.flusher.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return errors.Wrap(err, "write to the caller")
 	}
 	if _, err := s.writer.Write(data); err != nil {
@@ -76,10 +77,10 @@
 
 // Whole implements dispatch.Sink.
 func (s *sink) Whole(answer dispatch.Whole) error {
-	s.whole = true
+	s.wholeWritten = true
 	header := s.writer.Header()
 	for name, values := range answer.Header {
-		// The request's id is the one that this host answers under.
+		// The request id is this host's, which is already set.
 		if name != HeaderRequest {
 			header[name] = values
 		}
@@ -94,16 +95,16 @@
 	return s.write(answer.Body)
 }
 
-// end gives the caller the end mark or the failure. A stream that was cut gets
-// an error event and no end mark, and its connection is broken: nobody can take
-// it for whole.
+// end completes the answer: it writes the end marker or the failure. A stream that has
+// started and failed gets an error event and no end marker, and its connection is
+// aborted, so that nobody takes it for complete.
 func (s *sink) end(failure *dispatch.Failure) error {
 	switch {
-	case s.whole:
+	case s.wholeWritten:
 		return nil
 	case failure == nil:
 		return s.write([]byte(streamEnd))
-	case !s.begun:
+	case !s.started:
 		return s.server.fail(s.writer, failure)
 	}
 	_ = s.Chunk(encodeFailure(failure))
--- a/internal/peer/caller/sink_test.go
+++ b/internal/peer/caller/sink_test.go
@@ -15,16 +15,16 @@
 	"cicadaloom/internal/traffic/dispatch"
 )
 
-// flood is a dispatcher whose answers never end before their caller does.
-type flood struct {
+// endlessDispatcher writes chunks until the caller disconnects or a write fails.
+type endlessDispatcher struct {
 	Dispatcher
 	ended chan struct{}
 }
 
-func (f flood) Chat(_ context.Context, _ dispatch.Chat, sink dispatch.Sink) *dispatch.Failure {
+func (f endlessDispatcher) Chat(_ context.Context, _ dispatch.Chat, sink dispatch.Sink) *dispatch.Failure {
 	defer close(f.ended)
 	sink.Begin()
-	event := make([]byte, slowestReader-100)
+	event := make([]byte, minBytesPerSecond-100)
 	for i := range event {
 		event[i] = 'x'
 	}
@@ -33,19 +33,19 @@
 	return dispatch.Untouched(dispatch.CodeCancelled, "the caller has gone", time.Time{})
 }
 
-// A caller asks for a stream, stops reading and keeps its connection. Its
-// request must end once it has had its time, or the host could never stop.
-func TestCallerThatStopsReadingIsLetGo(t *testing.T) {
+// A caller asks for a stream, stops reading and keeps its connection. Its request must
+// end after the write timeout, or the host could never shut down.
+func TestStalledReaderEndsRequest(t *testing.T) {
 	loaded := settings.Default()
-	dispatcher := flood{
+	dispatcher := endlessDispatcher{
 		ended: make(chan struct{}),
 	}
 	server := &Server{
-		Dispatcher: dispatcher,
-		Knowledge:  noKnowledge{},
-		Settings:   loaded.Callers,
-		Log:        zap.NewNop(),
-		patience:   200 * time.Millisecond,
+		Dispatcher:   dispatcher,
+		Knowledge:    emptyControlPlane{},
+		Settings:     loaded.Callers,
+		Log:          zap.NewNop(),
+		writeTimeout: 200 * time.Millisecond,
 	}
 	address, err := server.Start("127.0.0.1:0")
 	require.NoError(t, err)
@@ -59,13 +59,13 @@
 	require.NoError(t, err)
 	select {
 	case <-dispatcher.ended:
-	case <-time.After(writePatience):
-		t.Fatal("the request goes on though its caller doesn't read")
+	case <-time.After(defaultWriteTimeout):
+		t.Fatal("the request is still in flight though its caller does not read")
 	}
 	require.NoError(t, server.Stop(context.Background()))
 }
 
-// noKnowledge is a host that knows nothing.
-type noKnowledge struct{ dispatch.Knowledge }
+// emptyControlPlane has no documents.
+type emptyControlPlane struct{ dispatch.Knowledge }
 
-func (noKnowledge) Table() *routing.Table { return nil }
+func (emptyControlPlane) Table() *routing.Table { return nil }
--- a/internal/peer/caller/wire.go
+++ b/internal/peer/caller/wire.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// chatBody is the part of a chat request that matters here; the engine gets
-// the body as it came.
+// chatBody has the fields of a chat request that this package reads; the engine gets
+// the body unchanged.
 type chatBody struct {
 	Model    string            `json:"model"`
 	Stream   bool              `json:"stream"`
@@ -13,7 +13,7 @@
 	MaxCompletionTokens int64 `json:"max_completion_tokens"`
 }
 
-// errorBody is an error in the form that the OpenAI clients read.
+// errorBody is an error in the format of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -25,11 +25,11 @@
 	Code    string  `json:"code"`
 	// Run says whether the request was run: NotRun, MayHaveRun or Ran.
 	Run string `json:"run"`
-	// RetryAt is when to come back (RFC 3339), absent where it would not help.
+	// RetryAt is when to retry (RFC 3339); absent if a retry would not help.
 	RetryAt string `json:"retry_at,omitempty"`
 }
 
-// modelList is the list of models in the form of the OpenAI API.
+// modelList is the list of models in the format of the OpenAI API.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
