--- a/internal/peer/operator/codec.go
+++ b/internal/peer/operator/codec.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// problemCode is the stable name of an administration error.
+// problemCode is the stable code of an administration error.
 type problemCode string
 
 const (
--- a/internal/peer/operator/decisions.go
+++ b/internal/peer/operator/decisions.go
@@ -14,15 +14,15 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// defaultLimit is how many of the newest decisions are shown unless the
-// operator says.
-const defaultLimit = 50
+// defaultDecisionLimit is how many of the newest decisions are returned unless the
+// request sets limit.
+const defaultDecisionLimit = 50
 
-// maxID bounds an id that is looked for; none that can be found is longer.
-const maxID = 200
+// maxIDLength limits the id of a query, in bytes; no id is longer.
+const maxIDLength = 200
 
-// decisions gives the newest decisions, or with ?id= those about one request,
-// attempt or order, as JSON or with ?format=text for a person to read.
+// decisions returns the newest decisions, or with ?id= those about one request, attempt
+// or order, as JSON or with ?format=text as text.
 func (s *Server) decisions(w http.ResponseWriter, request bunrouter.Request) error {
 	values := request.URL.Query()
 	query, err := readQuery(values)
@@ -33,34 +33,34 @@
 	if format != "" && format != "json" && format != "text" {
 		return badInput(w, "format: found "+strconv.Quote(format)+", allowed json or text")
 	}
-	// The token has been checked; it only says here whose decisions are shown.
-	who, _ := s.bearer(request.Header.Get("Authorization"))
-	query.Team = who.team
-	query.AllTeams = who.admin
-	decided, err := s.Control.Explain(request.Context(), query)
+	// authorize has checked the token; here it only selects the decisions to show.
+	owner, _ := s.findTokenOwner(request.Header.Get("Authorization"))
+	query.Team = owner.team
+	query.AllTeams = owner.isAdmin
+	report, err := s.Control.Explain(request.Context(), query)
 	if err != nil {
 		return unavailable(w, err)
 	}
 	status := http.StatusOK
-	if query.ID != "" && len(decided.Decisions) == 0 {
+	if query.ID != "" && len(report.Decisions) == 0 {
 		status = http.StatusNotFound
 	}
 	if format == "text" {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.WriteHeader(status)
-		_, err := w.Write([]byte(explained(&query, &decided)))
+		_, err := w.Write([]byte(decisionsText(&query, &report)))
 		return err
 	}
-	return writeJSON(w, status, encodeDecided(&decided))
+	return writeJSON(w, status, encodeDecisions(&report))
 }
 
 func readQuery(values url.Values) (decisions.Query, error) {
 	query := decisions.Query{
 		ID:    values.Get("id"),
-		Limit: defaultLimit,
+		Limit: defaultDecisionLimit,
 	}
-	if len(query.ID) > maxID {
-		return query, errors.Errorf("id: found %d characters, allowed up to %d", len(query.ID), maxID)
+	if len(query.ID) > maxIDLength {
+		return query, errors.Errorf("id: found %d characters, allowed up to %d", len(query.ID), maxIDLength)
 	}
 	if text := values.Get("limit"); text != "" {
 		limit, err := strconv.Atoi(text)
@@ -72,10 +72,10 @@
 	return query, nil
 }
 
-// explained is the answer to a person. That nothing was found proves nothing
-// where a host has not answered, so it is said.
-func explained(query *decisions.Query, decided *loop.Decided) string {
-	text := decisions.Text(decided.Decisions)
+// decisionsText formats the decisions as text. Without an answer from every host, an
+// empty result proves nothing, so the missing hosts are listed.
+func decisionsText(query *decisions.Query, report *loop.Decided) string {
+	text := decisions.Text(report.Decisions)
 	switch {
 	case text != "":
 	case query.ID == "":
@@ -83,13 +83,13 @@
 	default:
 		text = "no decision about " + query.ID + " is remembered: answered requests are not kept, nor are old decisions, other teams', or those of hosts that were replaced\n"
 	}
-	if len(decided.Missing) > 0 {
-		text += "no answer from: " + strings.Join(namesOf(decided.Missing), ", ") + "\n"
+	if len(report.Missing) > 0 {
+		text += "no answer from: " + strings.Join(hostNames(report.Missing), ", ") + "\n"
 	}
 	return text
 }
 
-func namesOf(hosts []ident.HostID) []string {
+func hostNames(hosts []ident.HostID) []string {
 	var names []string
 	for _, host := range hosts {
 		names = append(names, string(host))
@@ -97,14 +97,14 @@
 	return names
 }
 
-func encodeDecided(decided *loop.Decided) wireDecisions {
+func encodeDecisions(report *loop.Decided) wireDecisions {
 	wire := wireDecisions{
-		Hosts:     namesOf(decided.Hosts),
-		Missing:   namesOf(decided.Missing),
-		Decisions: make([]wireDecision, 0, len(decided.Decisions)),
+		Hosts:     hostNames(report.Hosts),
+		Missing:   hostNames(report.Missing),
+		Decisions: make([]wireDecision, 0, len(report.Decisions)),
 	}
-	for i := range decided.Decisions {
-		wire.Decisions = append(wire.Decisions, encodeDecision(&decided.Decisions[i]))
+	for i := range report.Decisions {
+		wire.Decisions = append(wire.Decisions, encodeDecision(&report.Decisions[i]))
 	}
 	return wire
 }
--- a/internal/peer/operator/documents.go
+++ b/internal/peer/operator/documents.go
@@ -18,8 +18,8 @@
 
 // Headers of edits.
 const (
-	// HeaderEdit names an edit. An edit whose answer was lost or Unknown is
-	// submitted again under the same id: it is carried out once.
+	// HeaderEdit is the id of an edit. An edit whose answer was lost or Unknown is
+	// submitted again with the same id, and takes effect once.
 	HeaderEdit    = "Cicadaloom-Edit"
 	headerIfMatch = "If-Match"
 	headerETag    = "Etag"
@@ -28,8 +28,8 @@
 )
 
 func (s *Server) listDocuments(w http.ResponseWriter, _ bunrouter.Request) error {
-	list := wireList{
-		Documents: []wireListed{},
+	list := wireDocuments{
+		Documents: []wireDocument{},
 	}
 	if snapshot := s.Control.Documents(); snapshot != nil {
 		list.Revision = int64(snapshot.Revision)
@@ -37,7 +37,7 @@
 			if version.Deleted {
 				continue
 			}
-			list.Documents = append(list.Documents, wireListed{
+			list.Documents = append(list.Documents, wireDocument{
 				Team:     string(team),
 				Revision: int64(version.Revision),
 			})
@@ -53,7 +53,7 @@
 	if snapshot != nil {
 		version, found := snapshot.Versions[team]
 		if found {
-			// A deleted document has a revision too: its team's next edit starts there.
+			// A deleted document has a revision too, on which the team's next edit is based.
 			setETag(w, version.Revision)
 		}
 		if found && !version.Deleted {
@@ -74,7 +74,7 @@
 }
 
 func (s *Server) putDocument(w http.ResponseWriter, request bunrouter.Request) error {
-	text, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxDocument))
+	text, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxDocumentBytes))
 	if err != nil {
 		return badInput(w, "the document could not be read: "+err.Error())
 	}
@@ -117,10 +117,10 @@
 		}
 	}
 	s.Log.Info("edit", zap.String("Team", string(edit.Team)), zap.String("EditID", string(edit.Edit)), zap.Any("Result", result))
-	return s.answer(w, edit, result)
+	return s.writeEditResult(w, edit, result)
 }
 
-func (s *Server) answer(w http.ResponseWriter, edit documents.EditSubmitted, result documents.EditResult) error {
+func (s *Server) writeEditResult(w http.ResponseWriter, edit documents.EditSubmitted, result documents.EditResult) error {
 	w.Header().Set(HeaderEdit, string(edit.Edit))
 	switch result := result.(type) {
 	case documents.Accepted:
--- a/internal/peer/operator/drain.go
+++ b/internal/peer/operator/drain.go
@@ -7,15 +7,15 @@
 	"go.uber.org/zap"
 )
 
-// drain begins a planned stop of this host. It may be asked again: the answer
-// says how many requests are still under way.
+// drain starts a planned stop of this host. The request may be repeated: the answer
+// says how many requests are still in flight.
 func (s *Server) drain(w http.ResponseWriter, request bunrouter.Request) error {
 	s.logDrain(request, "drain asked for")
 	s.Host.Drain()
 	return s.writeDrain(w)
 }
 
-// resume takes a drain back.
+// resume cancels a drain.
 func (s *Server) resume(w http.ResponseWriter, request bunrouter.Request) error {
 	s.logDrain(request, "drain taken back")
 	if !s.Host.Resume() {
--- a/internal/peer/operator/operator.go
+++ b/internal/peer/operator/operator.go
@@ -1,22 +1,26 @@
-// Package operator is the side that operators see: the administration API, the
-// metrics and the health page of an entry host.
+// Package operator is the HTTP server for operators: the administration API, the
+// metrics and the health check of an entry host.
 //
 //	GET    /admin/documents              the teams with the revisions in force
 //	GET    /admin/documents/TEAM         a team's document; its revision is the ETag
-//	PUT    /admin/documents/TEAM         an edit of the revision in If-Match
-//	DELETE /admin/documents/TEAM         the same, for a team that goes
-//	GET    /admin/documents/TEAM/history the versions before
+//	PUT    /admin/documents/TEAM         replaces the revision in If-Match
+//	DELETE /admin/documents/TEAM         deletes the revision in If-Match
+//	GET    /admin/documents/TEAM/history earlier and current versions
 //	GET    /admin/status                 hosts, backend servers, models, moves
 //	GET    /admin/burn                   the report on service-level burn
-//	GET    /admin/decisions              recent decisions and why, or one by its id
-//	POST   /admin/drain                  a planned stop of this host, but for its end
-//	DELETE /admin/drain                  takes that back
+//	GET    /admin/decisions              recent decisions and their reasons, or those on one id
+//	POST   /admin/drain                  starts a planned stop; the process goes on
+//	DELETE /admin/drain                  cancels it
 //	GET    /metrics                      Prometheus text
 //	GET    /healthz                      204 while the process serves
 //
-// Everything under /admin wants a bearer token from the settings. A team's
-// token may read and edit its own document; the administrators' token may read
-// everything, edit every team's and drain hosts. docs/API.md has the forms.
+// Everything under /admin requires a bearer token from the settings. A team's token may
+// read and edit that team's document; the administrators' token may read everything,
+// edit every document and drain hosts. docs/API.md describes the formats.
+//
+// Server translates between HTTP and two interfaces: Control, the control loop, and
+// Drainer, the host. Each request runs in a goroutine of net/http; Server itself keeps
+// no state that changes after Start.
 //
 // # Usage
 //
@@ -48,7 +52,7 @@
 	"cicadaloom/internal/peer/httpserve"
 )
 
-// Control is the control side of the host.
+// Control is the control loop of the host.
 type Control interface {
 	Documents() *documents.Snapshot
 	Edit(ctx context.Context, edit documents.EditSubmitted) (documents.EditResult, error)
@@ -58,29 +62,29 @@
 	Explain(ctx context.Context, query decisions.Query) (loop.Decided, error)
 }
 
-// Drainer is the host's side of a planned stop that an operator begins.
+// Drainer is the part of the host that carries out a planned stop.
 type Drainer interface {
-	// Drain refuses new requests and hands over what this host leads.
+	// Drain refuses new requests and hands over the leader roles of this host.
 	Drain()
-	// Resume takes Drain back, or tells that the process is already ending.
+	// Resume cancels Drain. It returns false if the process is already ending.
 	Resume() bool
 	Stopping() bool
-	// InFlight is the number of callers' requests under way.
+	// InFlight returns the number of callers' requests in flight.
 	InFlight() int64
 }
 
-// Bounds of a request.
+// Limits of one request.
 const (
-	callTimeout = 10 * time.Second
-	maxDocument = 1 << 20
+	callTimeout      = 10 * time.Second
+	maxDocumentBytes = 1 << 20
 )
 
-// Server answers operators. All fields but TLS must be set.
+// Server answers operators. All fields but TLS and Now must be set.
 type Server struct {
 	Control  Control
 	Host     Drainer
 	Settings settings.Operators
-	// Metrics are this host's; the process's own are shown with them.
+	// Metrics are this host's; those of the process are served with them.
 	Metrics *metrics.Set
 	Log     *zap.Logger
 	TLS     *tls.Config
@@ -90,8 +94,8 @@
 	http httpserve.Server
 }
 
-// Start listens at an address ("ip:port"; port 0 takes any) and gives the
-// address that it got.
+// Start listens at an address ("ip:port"; port 0 takes any free one) and returns the
+// bound address.
 func (s *Server) Start(address string) (string, error) {
 	if s.Now == nil {
 		s.Now = time.Now
@@ -104,7 +108,7 @@
 	return bound, errors.Wrap(err, "operators")
 }
 
-// Stop lets the requests in flight finish, within the context's time.
+// Stop waits until the requests in flight have finished or the context is done.
 func (s *Server) Stop(ctx context.Context) error {
 	return s.http.Stop(ctx)
 }
@@ -120,16 +124,16 @@
 		metrics.WritePrometheus(w, true)
 		return nil
 	})
-	router.GET("/admin/documents", s.allowed(toRead, s.listDocuments))
-	router.GET("/admin/documents/:team", s.allowed(toRead, s.getDocument))
-	router.PUT("/admin/documents/:team", s.allowed(toEdit, s.putDocument))
-	router.DELETE("/admin/documents/:team", s.allowed(toEdit, s.deleteDocument))
-	router.GET("/admin/documents/:team/history", s.allowed(toRead, s.history))
-	router.GET("/admin/status", s.allowed(toRead, s.status))
-	router.GET("/admin/burn", s.allowed(toRead, s.burn))
-	router.POST("/admin/drain", s.allowed(toDrain, s.drain))
-	router.DELETE("/admin/drain", s.allowed(toDrain, s.resume))
-	router.GET("/admin/decisions", s.allowed(toRead, s.decisions))
+	router.GET("/admin/documents", s.authorize(actionRead, s.listDocuments))
+	router.GET("/admin/documents/:team", s.authorize(actionRead, s.getDocument))
+	router.PUT("/admin/documents/:team", s.authorize(actionEdit, s.putDocument))
+	router.DELETE("/admin/documents/:team", s.authorize(actionEdit, s.deleteDocument))
+	router.GET("/admin/documents/:team/history", s.authorize(actionRead, s.history))
+	router.GET("/admin/status", s.authorize(actionRead, s.status))
+	router.GET("/admin/burn", s.authorize(actionRead, s.burn))
+	router.POST("/admin/drain", s.authorize(actionDrain, s.drain))
+	router.DELETE("/admin/drain", s.authorize(actionDrain, s.resume))
+	router.GET("/admin/decisions", s.authorize(actionRead, s.decisions))
 	return router
 }
 
--- a/internal/peer/operator/operator_test.go
+++ b/internal/peer/operator/operator_test.go
@@ -13,14 +13,14 @@
 	"cicadaloom/internal/control/documents"
 )
 
-// nothing is a control side without documents.
-type nothing struct{ Control }
+// emptyControl is a Control without documents.
+type emptyControl struct{ Control }
 
-func (nothing) Documents() *documents.Snapshot { return nil }
+func (emptyControl) Documents() *documents.Snapshot { return nil }
 
 func newServer(log *zap.Logger) *Server {
 	return &Server{
-		Control: nothing{},
+		Control: emptyControl{},
 		Log:     log,
 		Settings: settings.Operators{
 			Teams: []settings.TeamToken{
@@ -34,8 +34,8 @@
 	}
 }
 
-// Who may do what: every pair of token and page, and each refusal is logged.
-func TestTokens(t *testing.T) {
+// Each token may access only its pages, and each refusal is logged.
+func TestTokensLimitAccess(t *testing.T) {
 	observed, entries := observer.New(zap.InfoLevel)
 	handler := newServer(zap.New(observed)).routes()
 	for _, c := range []struct {
@@ -64,10 +64,10 @@
 	}
 }
 
-// Settings without an administrators' token: the empty token opens nothing.
-func TestNoAdminToken(t *testing.T) {
+// If the settings have no administrators' token, an empty token must not match it.
+func TestEmptyAdminTokenGrantsNothing(t *testing.T) {
 	server := newServer(zap.NewNop())
 	server.Settings.AdminToken = ""
-	_, known := server.bearer("Bearer ")
-	require.False(t, known)
+	_, isKnown := server.findTokenOwner("Bearer ")
+	require.False(t, isKnown)
 }
--- a/internal/peer/operator/status.go
+++ b/internal/peer/operator/status.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// burn gives the report as JSON, or with ?format=text or html as such.
+// burn returns the report as JSON, or with ?format=text or html as text or HTML.
 func (s *Server) burn(w http.ResponseWriter, request bunrouter.Request) error {
 	report, err := s.Control.Burn(request.Context())
 	if err != nil {
@@ -143,8 +143,8 @@
 	wire := wireBurn{
 		At:        report.At.UTC(),
 		Objective: burn.Objective,
-		Hosts:     namesOf(report.Hosts),
-		Missing:   namesOf(report.Missing),
+		Hosts:     hostNames(report.Hosts),
+		Missing:   hostNames(report.Missing),
 		Lines:     make([]wireBurnLine, 0, len(report.Lines)),
 	}
 	for i := range report.Lines {
--- a/internal/peer/operator/token.go
+++ b/internal/peer/operator/token.go
@@ -12,49 +12,50 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// purpose is what a request wants to do.
-type purpose string
+// action is the kind of access that a request needs. Its values appear in the log.
+type action string
 
 const (
-	toRead purpose = "Read"
-	toEdit purpose = "Edit"
-	// toDrain is for administrators: a host serves all teams.
-	toDrain purpose = "Drain"
+	actionRead action = "Read"
+	actionEdit action = "Edit"
+	// actionDrain is for administrators only: draining a host affects all teams.
+	actionDrain action = "Drain"
 )
 
-// bearer is who holds a token.
-type bearer struct {
-	admin bool
-	team  ident.TeamName
+// tokenOwner is a team or the administrators, to whom a token belongs.
+type tokenOwner struct {
+	isAdmin bool
+	team    ident.TeamName
 }
 
-// may tells whether the bearer may do something with a team's document; the
-// empty team stands for what concerns all teams.
-func (b bearer) may(wanted purpose, team ident.TeamName) bool {
+// mayPerform says whether the owner may perform an action on a team's document. The
+// empty team stands for pages that are not about one team.
+func (b tokenOwner) mayPerform(wanted action, team ident.TeamName) bool {
 	switch {
-	case b.admin:
+	case b.isAdmin:
 		return true
-	case wanted == toDrain:
+	case wanted == actionDrain:
 		return false
 	default:
 		return team == "" || b.team == team
 	}
 }
 
-// needed names the tokens that may do it.
-func needed(team ident.TeamName) string {
+// acceptedTokens describes the tokens that a page of the team accepts.
+func acceptedTokens(team ident.TeamName) string {
 	if team == "" {
 		return "the administrators'"
 	}
 	return "that of team " + string(team) + " or the administrators'"
 }
 
-// allowed lets only requests with a fitting token through, and logs the others.
-func (s *Server) allowed(wanted purpose, next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
+// authorize passes on only requests whose token permits the action; it refuses and logs
+// the others.
+func (s *Server) authorize(wanted action, next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, request bunrouter.Request) error {
 		team := ident.TeamName(request.Param("team"))
-		who, known := s.bearer(request.Header.Get("Authorization"))
-		if !known {
+		owner, isKnown := s.findTokenOwner(request.Header.Get("Authorization"))
+		if !isKnown {
 			s.logRefused(request, wanted, "unknown token")
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			return writeProblem(w, http.StatusUnauthorized, problem{
@@ -62,46 +63,46 @@
 				Message: "found no known token, allowed Authorization: Bearer TOKEN with one of the settings",
 			})
 		}
-		if !who.may(wanted, team) {
-			s.logRefused(request, wanted, "token of team "+string(who.team))
+		if !owner.mayPerform(wanted, team) {
+			s.logRefused(request, wanted, "token of team "+string(owner.team))
 			return writeProblem(w, http.StatusForbidden, problem{
 				Code:    codeForbidden,
-				Message: "found the token of team " + string(who.team) + ", allowed " + needed(team),
+				Message: "found the token of team " + string(owner.team) + ", allowed " + acceptedTokens(team),
 			})
 		}
 		return next(w, request)
 	}
 }
 
-func (s *Server) logRefused(request bunrouter.Request, wanted purpose, why string) {
+func (s *Server) logRefused(request bunrouter.Request, wanted action, reason string) {
 	s.Log.Warn("administration refused", zap.String("Purpose", string(wanted)), zap.String("Method", request.Method),
-		zap.String("Path", request.URL.Path), zap.String("From", request.RemoteAddr), zap.String("Reason", why))
+		zap.String("Path", request.URL.Path), zap.String("From", request.RemoteAddr), zap.String("Reason", reason))
 }
 
-// bearer finds who holds a token. Tokens are compared by their hashes in
-// constant time and all of them are looked at, so that the time of an answer
-// tells a guesser nothing about how near a guess was.
-func (s *Server) bearer(authorization string) (bearer, bool) {
+// findTokenOwner returns the owner of the token in an Authorization header. Tokens are
+// compared by their hashes in constant time, and always with all candidates, so that
+// the response time does not reveal how close a guess was.
+func (s *Server) findTokenOwner(authorization string) (tokenOwner, bool) {
 	token, found := strings.CutPrefix(authorization, "Bearer ")
 	if !found || token == "" {
-		return bearer{}, false
+		return tokenOwner{}, false
 	}
-	var who bearer
-	known := false
+	var owner tokenOwner
+	isKnown := false
 	for _, candidate := range s.Settings.Teams {
-		if same(token, candidate.Token) {
-			who.team = candidate.Team
-			known = true
+		if equalTokens(token, candidate.Token) {
+			owner.team = candidate.Team
+			isKnown = true
 		}
 	}
-	if s.Settings.AdminToken != "" && same(token, s.Settings.AdminToken) {
-		who.admin = true
-		known = true
+	if s.Settings.AdminToken != "" && equalTokens(token, s.Settings.AdminToken) {
+		owner.isAdmin = true
+		isKnown = true
 	}
-	return who, known
+	return owner, isKnown
 }
 
-func same(token, candidate string) bool {
+func equalTokens(token, candidate string) bool {
 	a := sha256.Sum256([]byte(token))
 	b := sha256.Sum256([]byte(candidate))
 	return subtle.ConstantTimeCompare(a[:], b[:]) == 1
--- a/internal/peer/operator/wire.go
+++ b/internal/peer/operator/wire.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// problem is an administration error.
+// problem is the body of an administration error.
 type problem struct {
 	Code    problemCode
 	Message string
-	// Faults are what is wrong with a document.
+	// Faults are the errors in a document.
 	Faults []wireFault `json:",omitempty"`
-	// Revision and Theirs are what a conflicting edit has accepted.
+	// Revision and Theirs are the version that a conflicting edit stored.
 	Revision int64  `json:",omitempty"`
 	Theirs   string `json:",omitempty"`
 	Yours    string `json:",omitempty"`
-	// Edit names the edit, to submit it again.
+	// Edit is the id under which to submit the edit again.
 	Edit    string     `json:",omitempty"`
 	RetryAt *time.Time `json:",omitempty"`
 }
@@ -26,14 +26,14 @@
 	Allowed string
 }
 
-type wireListed struct {
+type wireDocument struct {
 	Team     string
 	Revision int64
 }
 
-type wireList struct {
+type wireDocuments struct {
 	Revision  int64
-	Documents []wireListed
+	Documents []wireDocument
 }
 
 type wireAccepted struct {
@@ -53,11 +53,11 @@
 type wireStatus struct {
 	Host     string
 	Revision int64
-	// InForce counts the live hosts that have every edit up to Revision.
+	// InForce counts the live hosts that have applied every edit up to Revision.
 	InForce   int
 	LiveHosts int
-	// Stopping and InFlight are of the host that answers: it takes no new
-	// requests, and how many it still has.
+	// Stopping and InFlight describe the host that answers: whether it refuses new
+	// requests, and how many it still serves.
 	Stopping bool
 	InFlight int64
 	Leader   string
@@ -121,7 +121,7 @@
 	Model  string
 	Server string
 	Reason string
-	// Have and Want are replicas of the model that gains, before the move.
+	// Have and Want are replicas of the model that the move is for, before the move.
 	Have int
 	Want int
 }
@@ -132,7 +132,7 @@
 }
 
 type wireDecisions struct {
-	// Hosts have answered, Missing have not: what they decided is not here.
+	// Hosts have answered. Missing have not, and their decisions are absent.
 	Hosts     []string
 	Missing   []string `json:",omitempty"`
 	Decisions []wireDecision
@@ -153,7 +153,8 @@
 	Run     string     `json:",omitempty"`
 	Message string     `json:",omitempty"`
 	RetryAt *time.Time `json:",omitempty"`
-	// Have and Want are a move's: replicas of the model that gains, before it.
+	// Have and Want are set for moves: replicas of the model that the move is for,
+	// before the move.
 	Have *int `json:",omitempty"`
 	Want *int `json:",omitempty"`
 }
