--- a/internal/peer/engine/engine.go
+++ b/internal/peer/engine/engine.go
@@ -113,7 +113,7 @@
 	})
 	if err != nil {
 		cancel()
-		return nil, httpsend.Unanswered(reply, err)
+		return nil, httpsend.NewUnanswered(reply, err)
 	}
 	if err := call.checkResponse(reply.Response); err != nil {
 		_ = reply.Response.Body.Close()
@@ -146,7 +146,7 @@
 func (c *Call) checkResponse(response *http.Response) error {
 	matches := response.Header.Get(engineapi.HeaderAttempt) == string(c.AttemptID)
 	if response.StatusCode != http.StatusOK {
-		return httpsend.Refused(response, matches && httpsend.SaysNotRun(response))
+		return httpsend.ReadRefusal(response, matches && httpsend.HasNotRunProof(response))
 	}
 	if !matches {
 		return errors.Wrapf(ErrForeignAnswer, "attempt %q answered as %q",
--- a/internal/peer/httpsend/httpsend.go
+++ b/internal/peer/httpsend/httpsend.go
@@ -1,6 +1,10 @@
-// Package httpsend sends HTTP requests to backend servers and to the platform,
-// those with an effect at most once, and tells whether anything of a request
-// can have arrived.
+// Package httpsend sends HTTP requests to backend servers and to the platform. It sends
+// a request that may have an effect at most once, and reports whether any part of a
+// request can have reached the server.
+//
+// Client is the base of the clients in the packages engine, plain, weights and
+// hostlist. Refusal is how those for backend servers report a request without a usable
+// answer. Besides net/http's own, the package starts no goroutines.
 //
 // # Usage
 //
@@ -15,11 +19,11 @@
 //		Once:    true,
 //	})
 //	if err != nil && !reply.Sent {
-//		// proven: no connection came about, so nothing was run
+//		// no connection was established, so nothing was run
 //	}
 //
-// The package neither follows redirects nor uses a proxy nor HTTP/2: each of
-// these could send a request a second time without its user's knowledge.
+// The package follows no redirects and uses neither a proxy nor HTTP/2: each of these
+// could send a request a second time without the caller's knowledge.
 package httpsend
 
 import (
@@ -40,27 +44,27 @@
 )
 
 const (
-	idleTimeout         = 30 * time.Second
-	idleConnections     = 4096
-	idleConnectionsHost = 128
-	maxHeaderBytes      = 64 << 10
+	idleTimeout               = 30 * time.Second
+	maxIdleConnections        = 4096
+	maxIdleConnectionsPerHost = 128
+	maxHeaderBytes            = 64 << 10
 )
 
-// ErrTooLarge tells that a body is larger than its reader allows.
+// ErrTooLarge says that a body is larger than its limit.
 var ErrTooLarge = errors.New("body larger than allowed")
 
-// Client sends requests. The zero Client works; Close lets its idle
-// connections go. It is safe for use by many goroutines.
+// Client sends requests. The zero Client is ready to use; it is safe for concurrent
+// use. Close closes its idle connections.
 type Client struct {
-	// Meter counts what the connections carry; nil counts nothing. It is set
+	// Meter counts the bytes of the connections; nil counts nothing. It must be set
 	// before the first request.
-	Meter  *meter.Meter
-	start  sync.Once
-	pooled *http.Transport
-	fresh  *http.Transport
+	Meter    *meter.Meter
+	initOnce sync.Once
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
-// Request is one request. Address is host:port; Path may carry a query.
+// Request is one request. Address is host:port; Path may have a query.
 type Request struct {
 	Context context.Context
 	Method  string
@@ -68,49 +72,47 @@
 	Path    string
 	Header  http.Header
 	Body    []byte
-	// Once sends over a connection of its own, for a request that may not be
-	// repeated: see Client.Send.
+	// Once sends the request over a connection of its own, for a request that must not
+	// be sent twice: see Client.Send.
 	Once bool
 }
 
-// Reply is an answer, or what is known without one.
+// Reply is a response, or what is known without one.
 type Reply struct {
 	Response *http.Response // nil after an error
-	// Sent is false only where no connection to the server came about, so that
-	// not one byte of the request can have reached it.
+	// Sent is false only if no connection to the server was established, so that no
+	// byte of the request can have reached it.
 	Sent bool
 }
 
-// Send sends the request and returns when the answer's header is there. The
-// user closes the body of the response.
+// Send sends the request and returns when the header of the response has arrived. The
+// caller closes the body of the response.
 //
-// The guard against a hidden second send: http.Transport sends a request again
-// by itself when a kept-alive connection turns out dead, and it does so after
-// bytes were written where the request counts as idempotent: a GET or HEAD, or
-// anything with an Idempotency-Key header, whose body is empty or can be
-// rewound by GetBody. A dispatch would then run twice under one attempt. It
-// holds by two things: a body is given without GetBody, so the transport has
-// nothing to send again; and a request with Once, or one with no body and a
-// method that may have an effect, goes over a connection of its own, where the
-// transport never retries, since it does so only on reused connections. Once
-// also spares the doubt about a request that meets an idle connection which
-// the server has just closed.
+// Send guards against a hidden second send. http.Transport by itself repeats a request
+// when a reused connection turns out to be dead. It does so even after it has written
+// bytes, if the request counts as idempotent (a GET or HEAD, or any request with an
+// Idempotency-Key header) and its body is empty or can be rewound by GetBody. One
+// attempt would then run twice. Two measures prevent it: a body is given without
+// GetBody, so the transport has nothing to send again; and a request with Once, or one
+// without a body and with a method that may have an effect, uses a connection of its
+// own, and the transport repeats only on reused connections. Once also avoids the
+// uncertainty about a request that meets an idle connection just closed by the server.
 //
-// Sent is taken from the transport's own trace: GotConn comes before the first
-// byte of a request is written, on every connection that is tried.
+// Sent comes from the transport's trace: GotConn is called before the first byte of a
+// request is written, on every connection that is tried.
 func (c *Client) Send(request Request) (Reply, error) {
-	c.start.Do(c.init)
+	c.initOnce.Do(c.init)
 	var connected atomic.Bool
 	ctx := httptrace.WithClientTrace(request.Context, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
 			connected.Store(true)
 		},
 	})
-	built, err := build(ctx, &request)
+	built, err := buildRequest(ctx, &request)
 	if err != nil {
 		return Reply{}, err
 	}
-	response, err := c.transport(&request).RoundTrip(built) //nolint:bodyclose // the user closes it
+	response, err := c.transportFor(&request).RoundTrip(built) //nolint:bodyclose // the user closes it
 	reply := Reply{
 		Response: response,
 		Sent:     connected.Load(),
@@ -118,46 +120,46 @@
 	return reply, errors.Wrapf(err, "%s %s", request.Method, request.Address)
 }
 
-// Close closes the connections that no request uses.
+// Close closes the idle connections.
 func (c *Client) Close() {
-	c.start.Do(c.init)
+	c.initOnce.Do(c.init)
 	c.pooled.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 func (c *Client) init() {
 	c.pooled = newTransport(c.Meter)
-	c.fresh = newTransport(c.Meter)
-	c.fresh.DisableKeepAlives = true
+	c.unpooled = newTransport(c.Meter)
+	c.unpooled.DisableKeepAlives = true
 }
 
-func newTransport(counted *meter.Meter) *http.Transport {
+func newTransport(connMeter *meter.Meter) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Transport{
-		DialContext:            counted.Dial,
+		DialContext:            connMeter.Dial,
 		DisableCompression:     true,
 		IdleConnTimeout:        idleTimeout,
-		MaxIdleConns:           idleConnections,
-		MaxIdleConnsPerHost:    idleConnectionsHost,
+		MaxIdleConns:           maxIdleConnections,
+		MaxIdleConnsPerHost:    maxIdleConnectionsPerHost,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		Protocols:              protocols,
 	}
 }
 
-func (c *Client) transport(request *Request) *http.Transport {
-	if request.Once || (len(request.Body) == 0 && !safe(request.Method)) {
-		return c.fresh
+func (c *Client) transportFor(request *Request) *http.Transport {
+	if request.Once || (len(request.Body) == 0 && !isSafe(request.Method)) {
+		return c.unpooled
 	}
 	return c.pooled
 }
 
-// safe tells the methods that ask for no effect (RFC 9110, 9.2.1).
-func safe(method string) bool {
+// isSafe reports whether a method asks for no effect (RFC 9110, 9.2.1).
+func isSafe(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-func build(ctx context.Context, request *Request) (*http.Request, error) {
+func buildRequest(ctx context.Context, request *Request) (*http.Request, error) {
 	target, err := url.Parse("http://" + request.Address + request.Path)
 	if err != nil {
 		return nil, errors.Wrap(err, "address and path")
@@ -180,7 +182,7 @@
 	return built, nil
 }
 
-// ReadBody reads a body to its end, which must come within the limit.
+// ReadBody reads a body to its end. A body longer than limit bytes is ErrTooLarge.
 func ReadBody(body io.Reader, limit int64) ([]byte, error) {
 	read, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
@@ -192,8 +194,8 @@
 	return read, nil
 }
 
-// Fetch sends a request and reads its whole answer. It returns the status with
-// the body, whatever the status says.
+// Fetch sends a request and reads the response, up to limit bytes. It returns the
+// status and the body, whatever the status is.
 func (c *Client) Fetch(request Request, limit int64) (int, []byte, error) {
 	reply, err := c.Send(request)
 	if err != nil {
@@ -204,7 +206,7 @@
 	return reply.Response.StatusCode, body, err
 }
 
-// Get fetches what a path serves; a status other than 200 is an error.
+// Get fetches a path, up to limit bytes; a status other than 200 is an error.
 func (c *Client) Get(ctx context.Context, address, path string, limit int64) ([]byte, error) {
 	status, body, err := c.Fetch(Request{
 		Context: ctx,
--- a/internal/peer/httpsend/httpsend_test.go
+++ b/internal/peer/httpsend/httpsend_test.go
@@ -15,18 +15,18 @@
 	"gopkg.in/tomb.v2"
 )
 
-// moody is a server that answers the first request of a connection and closes
-// it after reading the second, as one whose idle timeout ends just then.
-type moody struct {
+// closingServer answers the first request of a connection and closes the connection
+// after it has read the second, like a server whose idle timeout ends at that moment.
+type closingServer struct {
 	tomb     tomb.Tomb
 	listener net.Listener
 	requests atomic.Int32
 }
 
-func newMoody(t *testing.T) *moody {
+func newClosingServer(t *testing.T) *closingServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &moody{
+	m := &closingServer{
 		listener: listener,
 	}
 	m.tomb.Go(m.accept)
@@ -37,7 +37,7 @@
 	return m
 }
 
-func (m *moody) accept() error {
+func (m *closingServer) accept() error {
 	for {
 		connection, err := m.listener.Accept()
 		if err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (m *moody) send(t *testing.T, client *Client, method, body string, once bool) (Reply, error) {
+func (m *closingServer) send(t *testing.T, client *Client, method, body string, once bool) (Reply, error) {
 	reply, err := client.Send(Request{
 		Context: context.Background(),
 		Method:  method,
@@ -82,11 +82,10 @@
 	return reply, err
 }
 
-// A skipper sees two boats arrive. The entry host sent the dispatch over a
-// kept-alive connection, the service ran it and died before it answered, and
-// the HTTP library sent it again over a new connection: it takes a request with
-// an Idempotency-Key for one that may be repeated.
-func TestNothingIsSentAgainBehindOurBack(t *testing.T) {
+// A request goes out over a reused connection; the service runs it and crashes before
+// it answers. http.Transport takes a request with an Idempotency-Key for one that may
+// be repeated and would send it again over a new connection, so that it runs twice.
+func TestTransportNeverSendsTwice(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		method string
@@ -101,7 +100,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var client Client
 			defer client.Close()
-			server := newMoody(t)
+			server := newClosingServer(t)
 			_, err := server.send(t, &client, c.method, c.body, c.once)
 			require.NoError(t, err)
 			reply, err := server.send(t, &client, c.method, c.body, c.once)
@@ -112,13 +111,13 @@
 	}
 }
 
-// A caller reads "not run" of a request that was run. Its host lost the
-// connection and took that for never having sent it. Only a connection that
-// never came about proves anything.
+// A host loses a connection after the request was run. If Sent were false then, the
+// caller would be told "not run". Only a connection that was never established proves
+// it.
 func TestSentIsFalseOnlyWithoutConnection(t *testing.T) {
 	var client Client
 	defer client.Close()
-	get := func(ctx context.Context, address string) (Reply, error) {
+	send := func(ctx context.Context, address string) (Reply, error) {
 		return client.Send(Request{
 			Context: ctx,
 			Method:  http.MethodPost,
@@ -130,7 +129,7 @@
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	closed.Close()
-	reply, err := get(context.Background(), closed.Addr().String())
+	reply, err := send(context.Background(), closed.Addr().String())
 	require.Error(t, err)
 	require.False(t, reply.Sent, "connection refused")
 
@@ -142,25 +141,25 @@
 	}))
 	defer hanging.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	var watch tomb.Tomb
-	watch.Go(func() error {
+	var canceller tomb.Tomb
+	canceller.Go(func() error {
 		<-arrived
 		cancel()
 		return nil
 	})
-	reply, err = get(ctx, hanging.Listener.Addr().String())
+	reply, err = send(ctx, hanging.Listener.Addr().String())
 	require.ErrorIs(t, err, context.Canceled)
-	require.True(t, reply.Sent, "given up after it arrived")
-	require.NoError(t, watch.Wait())
+	require.True(t, reply.Sent, "cancelled after it arrived")
+	require.NoError(t, canceller.Wait())
 
-	reply, err = get(ctx, hanging.Listener.Addr().String())
+	reply, err = send(ctx, hanging.Listener.Addr().String())
 	require.ErrorIs(t, err, context.Canceled)
-	require.False(t, reply.Sent, "given up before any connection")
+	require.False(t, reply.Sent, "cancelled before any connection")
 }
 
-// A dispatch runs at two services: the first redirected it, and the client
-// followed by itself.
-func TestRedirectsAreAnswers(t *testing.T) {
+// A service redirects a request that it has run. If the client followed, the request
+// would run at two services.
+func TestRedirectsAreNotFollowed(t *testing.T) {
 	var client Client
 	defer client.Close()
 	var runs atomic.Int32
@@ -181,7 +180,7 @@
 	require.EqualValues(t, 1, runs.Load())
 }
 
-func TestBodiesAreBounded(t *testing.T) {
+func TestReadBodyLimitsSize(t *testing.T) {
 	body, err := ReadBody(strings.NewReader("12345"), 5)
 	require.NoError(t, err)
 	require.Equal(t, "12345", string(body))
@@ -189,13 +188,14 @@
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
-// A dispatch is sent a second time because a proxy put "not run" on an error
-// page of its own. Only the statuses by which servers refuse carry the proof.
-func TestProofCountsOnRefusalsOnly(t *testing.T) {
+// A proxy adds "not run" to an error page of its own. If that counted as proof, the
+// request would be sent a second time. Only the statuses by which servers refuse carry
+// the proof.
+func TestNotRunProofCountsOnRefusalStatusesOnly(t *testing.T) {
 	for status, proves := range map[int]bool{200: false, 404: true, 429: true, 500: false, 502: false, 503: true} {
 		recorder := httptest.NewRecorder()
 		recorder.Header().Set("X-Not-Run", "true")
 		recorder.WriteHeader(status)
-		require.Equal(t, proves, SaysNotRun(recorder.Result()), status)
+		require.Equal(t, proves, HasNotRunProof(recorder.Result()), status)
 	}
 }
--- a/internal/peer/httpsend/refusal.go
+++ b/internal/peer/httpsend/refusal.go
@@ -8,25 +8,27 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// refusalLimit bounds how much of a refusal's body is kept.
-const refusalLimit = 64 << 10
+// maxRefusalBytes limits how much of the body of a refusal is kept.
+const maxRefusalBytes = 64 << 10
 
-// Refusal is a request that got no answer of the kind asked for.
+// Refusal is the error of a request without a usable answer: the server refused it, or
+// no complete answer arrived.
 type Refusal struct {
-	// Status is the HTTP status, or 0 where none came.
+	// Status is the HTTP status, or 0 if there was no response.
 	Status int
 	// NotRun is the server's own proof that it did not run the request.
 	NotRun bool
-	// RetryAfter is when the server wants to be asked again; zero if it doesn't say.
+	// RetryAfter is when the server wants the request to be retried; zero if it does
+	// not say.
 	RetryAfter time.Time
 	Body       []byte
-	// Sent is false only where no connection to the server came about.
+	// Sent is false only if no connection to the server was established.
 	Sent bool
-	// Cause is the failure behind a refusal without a status, or of its body.
+	// Cause is the error behind a refusal without a status, or without a usable body.
 	Cause error
 }
 
-// Error says how the request was refused.
+// Error describes the refusal.
 func (r *Refusal) Error() string {
 	switch {
 	case !r.Sent:
@@ -40,21 +42,21 @@
 	}
 }
 
-// Unwrap gives the failure behind the refusal.
+// Unwrap returns the cause.
 func (r *Refusal) Unwrap() error {
 	return r.Cause
 }
 
-// ProvesNotRun tells whether the request provably was not run: the server
-// says so, or nothing can have reached it.
+// ProvesNotRun reports whether the request provably was not run: the server says so, or
+// nothing can have reached it.
 func (r *Refusal) ProvesNotRun() bool {
 	return r.NotRun || !r.Sent
 }
 
-// SaysNotRun tells whether an answer's header carries the server's proof that
-// it did not run the request. Only the statuses by which a server refuses
-// count: a proof on any other is a server out of order, and proves nothing.
-func SaysNotRun(response *http.Response) bool {
+// HasNotRunProof reports whether a response carries the server's proof that it did not
+// run the request. The proof counts only with a status by which servers refuse: with
+// any other the server is faulty, and it proves nothing.
+func HasNotRunProof(response *http.Response) bool {
 	switch response.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusNotFound:
 		return response.Header.Get(engineapi.HeaderNotRun) == engineapi.NotRunProof
@@ -63,19 +65,19 @@
 	}
 }
 
-// Unanswered is the refusal of a request that got no answer at all.
-func Unanswered(reply Reply, cause error) *Refusal {
+// NewUnanswered returns the Refusal of a request that got no response at all.
+func NewUnanswered(reply Reply, cause error) *Refusal {
 	return &Refusal{
 		Sent:  reply.Sent,
 		Cause: cause,
 	}
 }
 
-// Refused reads a refusal from an answer and closes its body. A body that
-// can't be read takes nothing from what the header proves.
-func Refused(response *http.Response, notRun bool) *Refusal {
+// ReadRefusal reads a refusal from a response and closes its body. A body that cannot
+// be read does not affect what the header proves.
+func ReadRefusal(response *http.Response, notRun bool) *Refusal {
 	defer func() { _ = response.Body.Close() }()
-	body, err := ReadBody(response.Body, refusalLimit)
+	body, err := ReadBody(response.Body, maxRefusalBytes)
 	if err != nil {
 		body = nil
 	}
--- a/internal/peer/plain/plain.go
+++ b/internal/peer/plain/plain.go
@@ -92,7 +92,7 @@
 		Once:    request.Once,
 	})
 	if err != nil {
-		return nil, httpsend.Unanswered(reply, err)
+		return nil, httpsend.NewUnanswered(reply, err)
 	}
 	return request.read(reply.Response)
 }
@@ -109,8 +109,8 @@
 			Cause:  errors.Wrapf(ErrForeignAnswer, "request %q answered as %q", r.RequestID, named),
 		}
 	}
-	if httpsend.SaysNotRun(response) {
-		return nil, httpsend.Refused(response, true)
+	if httpsend.HasNotRunProof(response) {
+		return nil, httpsend.ReadRefusal(response, true)
 	}
 	body, err := httpsend.ReadBody(response.Body, answerLimit)
 	if err != nil {
