--- a/internal/peer/httpserve/httpserve.go
+++ b/internal/peer/httpserve/httpserve.go
@@ -1,6 +1,9 @@
-// Package httpserve serves HTTP to callers and operators: with bounds against
-// connections that are held without use, over TLS or in the clear, and with a
-// stop that lets what is under way finish.
+// Package httpserve runs the HTTP servers for callers and operators. Its timeouts and
+// limits keep idle or slow clients from holding connections; it serves with or without
+// TLS and shuts down gracefully.
+//
+// A Server serves in a goroutine of its own, which Stop ends. The packages caller and
+// operator use it.
 //
 // # Usage
 //
@@ -25,29 +28,29 @@
 	tomb "gopkg.in/tomb.v2"
 )
 
-// Bounds against peers that hold connections without using them.
+// Limits against clients that hold connections without using them.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 32 << 10
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 32 << 10
 )
 
-// Options say what is served.
+// Options configure a server.
 type Options struct {
 	Handler http.Handler
-	// TLS is nil for HTTP in the clear.
+	// TLS is nil for plain HTTP.
 	TLS *tls.Config
 	Log *zap.Logger
 }
 
-// Server is one listening address. Its zero value is ready to start, once.
+// Server serves one listening address. The zero value is ready to start, once.
 type Server struct {
 	tomb tomb.Tomb
 	http *http.Server
 }
 
-// Start listens at an address ("ip:port"; port 0 takes any) and gives the
-// address that it got.
+// Start listens at an address ("ip:port"; port 0 takes any free one) and returns the
+// bound address.
 func (s *Server) Start(address string, options Options) (string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,7 +64,7 @@
 		Handler:           options.Handler,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          zap.NewStdLog(options.Log),
 	}
 	s.tomb.Go(func() error {
@@ -73,9 +76,9 @@
 	return bound, nil
 }
 
-// Stop takes no new connections, lets the requests under way finish within the
-// context's time, and cuts what is left then, with an error that says so. A server
-// that was never started has nothing to stop.
+// Stop closes the listener and waits for the requests in flight. If the context ends
+// first, it closes their connections and returns an error that says so. Stopping a
+// server that was never started does nothing.
 func (s *Server) Stop(ctx context.Context) error {
 	if s.http == nil {
 		return nil
@@ -84,7 +87,7 @@
 	if err := s.http.Shutdown(ctx); err != nil {
 		_ = s.http.Close()
 		_ = s.tomb.Wait()
-		return errors.Wrap(err, "requests were still under way")
+		return errors.Wrap(err, "requests were still in flight")
 	}
 	return s.tomb.Wait()
 }
