--- a/internal/peer/plain/plain.go
+++ b/internal/peer/plain/plain.go
@@ -1,6 +1,9 @@
-// Package plain is the client of plain services: services without a model,
-// such as a dispatch desk or a booking system, to which requests are passed on
-// as they came.
+// Package plain is the HTTP client of plain services: backend servers without models,
+// such as a dispatch desk or a booking system. It forwards requests without
+// their hop-by-hop headers, and adds the request id and the deadline.
+//
+// Client is used by the dispatch of requests and by the control loop. It is safe for
+// concurrent use, and the package starts no goroutines but those of net/http.
 //
 // # Usage
 //
@@ -15,12 +18,12 @@
 //		Once:      true,
 //	})
 //	if refusal != nil && refusal.ProvesNotRun() {
-//		// ask another replica
+//		// try another replica
 //	}
 //
-// Any answer that came whole is an answer, also one with an error status: it is
-// the service's word to its caller. Only a refusal with the proof that the
-// request was not run, or no whole answer, is a Refusal.
+// Every complete response is an Answer, also one with an error status: it is for the
+// caller. Only a response with the proof that the request was not run, or the lack of a
+// complete response, is a Refusal.
 package plain
 
 import (
@@ -38,49 +41,51 @@
 )
 
 const (
-	answerLimit = 8 << 20
-	reportLimit = 64 << 10
+	maxAnswerBytes = 8 << 20
+	maxReportBytes = 64 << 10
 )
 
-// ErrForeignAnswer tells that an answer names another request than was sent.
+// ErrForeignAnswer says that a response has the id of another request than was sent.
 var ErrForeignAnswer = errors.New("answer of another request")
 
-// Refusal is a request that got no answer; see httpsend.
+// Refusal is a request without a usable answer; see httpsend.
 type Refusal = httpsend.Refusal
 
-// Client asks plain services. The zero Client works.
+// Client sends requests to plain services. The zero Client is ready to use.
 type Client struct {
 	http httpsend.Client
 }
 
-// Count counts what the connections carry. It comes before the first request.
-func (c *Client) Count(counted *meter.Meter) {
-	c.http.Meter = counted
+// Count makes the client count the bytes of its connections. It must be called before
+// the first request.
+func (c *Client) Count(connMeter *meter.Meter) {
+	c.http.Meter = connMeter
 }
 
-// Request is a caller's request, to be passed on.
+// Request is a caller's request to forward.
 type Request struct {
 	Method string
-	// Path has the query too.
+	// Path includes the query.
 	Path      string
 	Header    http.Header
 	Body      []byte
 	RequestID ident.RequestID
-	// Deadline tells the service until when the answer is of use; the request
-	// itself ends by its context only.
+	// Deadline tells the service until when the answer is useful. The request itself
+	// ends only with its context.
 	Deadline time.Time
-	// Once marks a request that may not be repeated: it gets a connection of its own.
+	// Once marks a request that must not be sent twice: it gets a connection of its
+	// own.
 	Once bool
 }
 
-// Answer is a service's whole answer.
+// Answer is the complete response of a service.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Do passes a request on. Just one of its results is nil.
+// Do forwards a request. Exactly one of the results is nil.
 func (c *Client) Do(ctx context.Context, address string, request *Request) (*Answer, *Refusal) {
 	reply, err := c.http.Send(httpsend.Request{
 		Context: ctx,
@@ -94,25 +99,26 @@
 	if err != nil {
 		return nil, httpsend.NewUnanswered(reply, err)
 	}
-	return request.read(reply.Response)
+	return request.readAnswer(reply.Response)
 }
 
-// read takes an answer that is this request's, and whole. An answer that names
-// another request proves nothing of this one, whatever it says.
-func (r *Request) read(response *http.Response) (*Answer, *Refusal) {
+// readAnswer reads a response, which must be complete and belong to this request. A
+// response with the id of another request proves nothing about this one, whatever it
+// says.
+func (r *Request) readAnswer(response *http.Response) (*Answer, *Refusal) {
 	defer func() { _ = response.Body.Close() }()
-	named := response.Header.Get(engineapi.HeaderRequest)
-	if named != "" && named != string(r.RequestID) {
+	answeredID := response.Header.Get(engineapi.HeaderRequest)
+	if answeredID != "" && answeredID != string(r.RequestID) {
 		return nil, &Refusal{
 			Status: response.StatusCode,
 			Sent:   true,
-			Cause:  errors.Wrapf(ErrForeignAnswer, "request %q answered as %q", r.RequestID, named),
+			Cause:  errors.Wrapf(ErrForeignAnswer, "request %q answered as %q", r.RequestID, answeredID),
 		}
 	}
 	if httpsend.HasNotRunProof(response) {
 		return nil, httpsend.ReadRefusal(response, true)
 	}
-	body, err := httpsend.ReadBody(response.Body, answerLimit)
+	body, err := httpsend.ReadBody(response.Body, maxAnswerBytes)
 	if err != nil {
 		return nil, &Refusal{
 			Status: response.StatusCode,
@@ -122,13 +128,13 @@
 	}
 	return &Answer{
 		Status: response.StatusCode,
-		Header: passedOn(response.Header),
+		Header: forwardedHeader(response.Header),
 		Body:   body,
 	}, nil
 }
 
 func (r *Request) header() http.Header {
-	header := passedOn(r.Header)
+	header := forwardedHeader(r.Header)
 	header.Set(engineapi.HeaderRequest, string(r.RequestID))
 	if !r.Deadline.IsZero() {
 		header.Set(engineapi.HeaderDeadline, engineapi.FormatDeadline(r.Deadline))
@@ -136,22 +142,23 @@
 	return header
 }
 
-// Report asks a service for its load.
+// Report fetches the report of a service on its load.
 func (c *Client) Report(ctx context.Context, address string) (engineapi.PlainReport, error) {
-	body, err := c.http.Get(ctx, address, engineapi.PathReport, reportLimit)
+	body, err := c.http.Get(ctx, address, engineapi.PathReport, maxReportBytes)
 	if err != nil {
 		return engineapi.PlainReport{}, err
 	}
 	return engineapi.DecodePlainReport(body)
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.Close()
 }
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and are not forwarded (RFC 9110, 7.6.1).
+// Content-Length is set anew from the body.
+var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Authenticate",
@@ -164,18 +171,19 @@
 	"Content-Length",
 }
 
-func passedOn(header http.Header) http.Header {
-	passed := header.Clone()
-	if passed == nil {
+// forwardedHeader copies a header without its hop-by-hop fields.
+func forwardedHeader(header http.Header) http.Header {
+	forwarded := header.Clone()
+	if forwarded == nil {
 		return http.Header{}
 	}
 	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
-			passed.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		passed.Del(name)
+	for _, name := range hopByHopHeaders {
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
--- a/internal/peer/plain/plain_test.go
+++ b/internal/peer/plain/plain_test.go
@@ -15,7 +15,7 @@
 	standin "cicadaloom/internal/standin/plain"
 )
 
-func dispatch() *plain.Request {
+func dispatchRequest() *plain.Request {
 	return &plain.Request{
 		Method: http.MethodPost,
 		Path:   "/dispatch?boat=4",
@@ -32,7 +32,7 @@
 	}
 }
 
-func start(t *testing.T) (*standin.Service, string) {
+func startService(t *testing.T) (*standin.Service, string) {
 	service := standin.New(standin.Options{})
 	address, err := service.Start("127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,14 +40,14 @@
 	return service, address
 }
 
-// A dispatcher is told that a dispatch was not run, sends it again, and two
-// boats leave: the service had run it before its answer was lost.
-func TestALostAnswerProvesNothing(t *testing.T) {
+// A service runs a request and its answer is lost. If the client reported "not run",
+// the caller would send it again and it would run twice.
+func TestLostAnswerIsNoProofOfNotRun(t *testing.T) {
 	var client plain.Client
 	defer client.Close()
-	service, address := start(t)
+	service, address := startService(t)
 
-	answer, refusal := client.Do(context.Background(), address, dispatch())
+	answer, refusal := client.Do(context.Background(), address, dispatchRequest())
 	require.Nil(t, refusal)
 	require.Equal(t, http.StatusOK, answer.Status)
 	require.JSONEq(t, `{"Method":"POST","Path":"/dispatch?boat=4","Body":"boat 4","Run":1}`, string(answer.Body))
@@ -55,7 +55,7 @@
 	service.Faults.Set(standin.Faults{
 		CutAfterRun: 1,
 	})
-	_, refusal = client.Do(context.Background(), address, dispatch())
+	_, refusal = client.Do(context.Background(), address, dispatchRequest())
 	require.NotNil(t, refusal)
 	require.False(t, refusal.ProvesNotRun())
 	require.Equal(t, 2, service.Stats().Runs["req-1"])
@@ -64,7 +64,7 @@
 	service.Faults.Set(standin.Faults{
 		Refuse: true,
 	})
-	_, refusal = client.Do(context.Background(), address, dispatch())
+	_, refusal = client.Do(context.Background(), address, dispatchRequest())
 	require.NotNil(t, refusal)
 	require.True(t, refusal.ProvesNotRun())
 	require.False(t, refusal.RetryAfter.IsZero())
@@ -77,12 +77,12 @@
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	free.Close()
-	_, refusal := client.Do(context.Background(), free.Addr().String(), dispatch())
+	_, refusal := client.Do(context.Background(), free.Addr().String(), dispatchRequest())
 	require.NotNil(t, refusal)
 	require.True(t, refusal.ProvesNotRun())
 }
 
-func TestOnlyWhatIsForTheServiceIsPassedOn(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	var client plain.Client
 	defer client.Close()
 	var got http.Header
@@ -94,8 +94,8 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	defer server.Close()
-	answer, refusal := client.Do(context.Background(), server.Listener.Addr().String(), dispatch())
-	require.Nil(t, refusal, "an error is the service's answer too")
+	answer, refusal := client.Do(context.Background(), server.Listener.Addr().String(), dispatchRequest())
+	require.Nil(t, refusal, "an error status is an answer too")
 	require.Equal(t, http.StatusInternalServerError, answer.Status)
 	require.Equal(t, "4", answer.Header.Get("X-Boat"))
 	require.Empty(t, answer.Header.Get("Keep-Alive"))
@@ -104,9 +104,10 @@
 	require.Equal(t, "6", got.Get("Content-Length"))
 }
 
-// A studio reads another studio's reservation; or an answer without end takes
-// all memory of its host. Neither is passed on, and neither proves anything.
-func TestForeignAndHugeAnswersAreDropped(t *testing.T) {
+// A caller must not get the answer to another request, and an endless answer must not
+// use up the memory of the host. Neither is forwarded, and neither proves that the
+// request was not run.
+func TestMismatchedAndHugeAnswersAreRejected(t *testing.T) {
 	var client plain.Client
 	defer client.Close()
 	for name, handler := range map[string]http.HandlerFunc{
@@ -125,7 +126,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(handler)
 			defer server.Close()
-			_, refusal := client.Do(context.Background(), server.Listener.Addr().String(), dispatch())
+			_, refusal := client.Do(context.Background(), server.Listener.Addr().String(), dispatchRequest())
 			require.NotNil(t, refusal)
 			require.False(t, refusal.ProvesNotRun())
 		})
@@ -135,7 +136,7 @@
 func TestReport(t *testing.T) {
 	var client plain.Client
 	defer client.Close()
-	service, address := start(t)
+	service, address := startService(t)
 	report, err := client.Report(context.Background(), address)
 	require.NoError(t, err)
 	require.Equal(t, standin.DefaultSlots, report.Slots)
