--- a/internal/peer/meter/meter.go
+++ b/internal/peer/meter/meter.go
@@ -1,5 +1,9 @@
-// Package meter counts the bytes that connections carry, as the network has
-// them but for the headers of TCP and IP.
+// Package meter counts the bytes that connections carry, without the headers of TCP and
+// IP. The clients and servers of the peer packages use it for metrics of the control
+// traffic.
+//
+// A Meter wraps connections, which add what they read and write to two counters. It is
+// safe for concurrent use; a nil Meter counts nothing.
 //
 // # Usage
 //
@@ -9,8 +13,6 @@
 //	}
 //	connection, err := counted.Dial(ctx, "tcp", address)
 //	listener = counted.Listener(listener)
-//
-// A nil Meter counts nothing.
 package meter
 
 import (
@@ -23,13 +25,13 @@
 
 const dialTimeout = 2 * time.Second
 
-// Meter counts into two counters.
+// Meter adds the bytes read to In and the bytes written to Out.
 type Meter struct {
 	In  *metrics.Counter
 	Out *metrics.Counter
 }
 
-// Dial connects and counts what the connection carries.
+// Dial connects to an address and counts the bytes of the connection.
 func (m *Meter) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
@@ -38,10 +40,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return m.counted(connection), nil
+	return m.wrap(connection), nil
 }
 
-// Listener counts what the connections carry that a listener takes in.
+// Listener wraps a listener to count the bytes of the connections that it accepts.
 func (m *Meter) Listener(listener net.Listener) net.Listener {
 	if m == nil {
 		return listener
@@ -52,7 +54,7 @@
 	}
 }
 
-func (m *Meter) counted(connection net.Conn) net.Conn {
+func (m *Meter) wrap(connection net.Conn) net.Conn {
 	if m == nil {
 		return connection
 	}
@@ -72,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.meter.counted(connection), nil
+	return l.meter.wrap(connection), nil
 }
 
 type countedConn struct {
--- a/internal/peer/meter/meter_test.go
+++ b/internal/peer/meter/meter_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestBothEndsCount(t *testing.T) {
+func TestBothEndsCountBytes(t *testing.T) {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server, client := newMeter(), newMeter()
