--- a/internal/peer/weights/weights.go
+++ b/internal/peer/weights/weights.go
@@ -1,6 +1,6 @@
-// Package weights is the client of the platform's weight store, as far as the
-// system asks it: engines fetch weights themselves, the system paces its orders
-// by the store's load.
+// Package weights is the client of the platform's weight store. Engines fetch weights
+// from the store themselves; this system only asks for the store's load, to limit the
+// rate of its load orders by it.
 //
 // # Usage
 //
@@ -18,24 +18,24 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-const statusLimit = 64 << 10
+const maxStatusBytes = 64 << 10
 
-// Client asks the weight store at Address.
+// Client sends requests to the weight store at Address.
 type Client struct {
 	Address string
 	http    httpsend.Client
 }
 
-// Status tells how many loads go on and how many have ended.
+// Status returns how many loads are in progress and how many have ended.
 func (c *Client) Status(ctx context.Context) (engineapi.WeightStatus, error) {
-	body, err := c.http.Get(ctx, c.Address, engineapi.PathLoadStatus, statusLimit)
+	body, err := c.http.Get(ctx, c.Address, engineapi.PathLoadStatus, maxStatusBytes)
 	if err != nil {
 		return engineapi.WeightStatus{}, err
 	}
 	return engineapi.DecodeWeightStatus(body)
 }
 
-// Close closes idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.Close()
 }
