--- a/internal/peer/grpcpeer/grpcpeer.go
+++ b/internal/peer/grpcpeer/grpcpeer.go
@@ -1,5 +1,9 @@
-// Package grpcpeer has what the services between entry hosts share: one
-// connection to each peer, and a listener.
+// Package grpcpeer has the common base of the gRPC services between hosts: a Pool with
+// one connection to each peer, and a Server. The packages entryhost and gatewaypeer
+// build on it. Both check that the peers belong to the same Fleet.
+//
+// A Server serves in a goroutine of its own, which Stop ends. A Pool is protected by a
+// mutex, which is never held during a call.
 //
 // # Usage
 //
@@ -30,42 +34,42 @@
 	"cicadaloom/internal/peer/meter"
 )
 
-// Bounds of a connection between peers. A peer that was cut off without a word
-// is noticed by the keepalive, not by the next call.
+// Limits of a connection between peers. Keepalive pings detect a peer that became
+// unreachable without closing the connection before the next call does.
 const (
-	maxMessage       = 16 << 20
+	maxMessageBytes  = 16 << 20
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 3 * time.Second
 )
 
-// Server listens for peers. The zero value works, once.
+// Server listens for peers. The zero value is ready to start, once.
 type Server struct {
-	// Fleet gives the fleet of this host, if there is more than one: calls of hosts of
-	// another are refused.
+	// Fleet returns the fleet of this host, if there is more than one: calls from other
+	// fleets are refused.
 	Fleet Fleet
 	tomb  tomb.Tomb
 	grpc  *grpc.Server
 }
 
-// Start listens at an address ("ip:port"; port 0 takes any), registers the
-// services and gives the address that it got. counted may be nil.
-func (s *Server) Start(address string, register func(grpc.ServiceRegistrar), counted *meter.Meter) (string, error) {
+// Start listens at an address ("ip:port"; port 0 takes any free one), registers the
+// services and returns the bound address. connMeter may be nil.
+func (s *Server) Start(address string, register func(grpc.ServiceRegistrar), connMeter *meter.Meter) (string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return "", errors.Wrapf(err, "listen for peers at %s", address)
 	}
 	s.grpc = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.KeepaliveParams(keepalive.ServerParameters{
 			Time:    keepaliveTime,
 			Timeout: keepaliveTimeout,
 		}),
-		grpc.UnaryInterceptor(s.Fleet.admit),
+		grpc.UnaryInterceptor(s.Fleet.checkFleet),
 	)
 	register(s.grpc)
 	bound := listener.Addr().String()
-	if counted != nil {
-		listener = counted.Listener(listener)
+	if connMeter != nil {
+		listener = connMeter.Listener(listener)
 	}
 	s.tomb.Go(func() error {
 		return s.grpc.Serve(listener)
@@ -73,8 +77,8 @@
 	return bound, nil
 }
 
-// Stop ends the calls under way and gives the first error. A server that was never
-// started has nothing to stop.
+// Stop aborts the calls in flight and returns the first error. Stopping a server that
+// was never started does nothing.
 func (s *Server) Stop() error {
 	if s.grpc == nil {
 		return nil
@@ -84,19 +88,20 @@
 	return s.tomb.Wait()
 }
 
-// Pool keeps one connection to each peer. The zero value works; it is safe for
-// many goroutines.
+// Pool keeps one connection to each peer. The zero value is ready to use; it is safe
+// for concurrent use.
 type Pool struct {
-	// Meter counts what the connections carry; nil counts nothing.
+	// Meter counts the bytes of the connections; nil counts nothing.
 	Meter *meter.Meter
-	// Fleet gives the fleet of this host, if there is more than one; calls name it.
+	// Fleet returns the fleet of this host, if there is more than one; each call
+	// carries it.
 	Fleet       Fleet
 	mu          sync.Mutex
 	connections map[string]*grpc.ClientConn
 	closed      bool
 }
 
-// Connection gives the connection to the peer at an address ("ip:port").
+// Connection returns the connection to the peer at an address ("ip:port").
 func (p *Pool) Connection(address string) (*grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,8 +116,8 @@
 		grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
 			return p.Meter.Dial(ctx, "tcp", address)
 		}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
-		grpc.WithUnaryInterceptor(p.Fleet.name))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
+		grpc.WithUnaryInterceptor(p.Fleet.attachFleet))
 	if err != nil {
 		return nil, errors.Wrapf(err, "peer %s", address)
 	}
@@ -123,8 +128,8 @@
 	return connection, nil
 }
 
-// Warm opens the connection to a peer before the first call: between regions it takes
-// longer than a call may.
+// Warm establishes the connection to a peer before the first call: between regions that
+// takes longer than the timeout of a call.
 func (p *Pool) Warm(address string) error {
 	connection, err := p.Connection(address)
 	if err != nil {
@@ -134,15 +139,15 @@
 	return nil
 }
 
-// Count gives how many connections the pool has.
+// Count returns the number of connections.
 func (p *Pool) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.connections)
 }
 
-// Drop closes the connection to one peer: the next call opens another. A peer
-// that does not answer may live behind a connection that has gone silent.
+// Drop closes the connection to one peer; the next call opens a new one. A peer that
+// does not answer may be reachable over a new connection if the old one is dead.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,8 +157,8 @@
 	}
 }
 
-// Keep closes the connections to all peers but those at the addresses given, so
-// that replaced hosts leave nothing behind.
+// Keep closes the connections to all peers but those at the given addresses, so that
+// replaced hosts leave no connections behind.
 func (p *Pool) Keep(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,7 +170,7 @@
 	}
 }
 
-// Close closes all connections. Connection gives no more after it.
+// Close closes all connections. Connection fails after it.
 func (p *Pool) Close() {
 	p.Keep(nil)
 	p.mu.Lock()
