--- a/internal/wire/engineapi/answer.go
+++ b/internal/wire/engineapi/answer.go
@@ -13,11 +13,12 @@
 	finishStop    = "stop"
 )
 
-// Answer is what all chunks of one answer, or the whole answer, have in common.
+// Answer has the fields that all chunks of one answer share, or those of the answer as
+// a whole.
 type Answer struct {
 	ID      string
 	Created time.Time
-	// Model echoes the name that the caller asked for.
+	// Model repeats the name in the request.
 	Model string
 }
 
@@ -27,10 +28,10 @@
 	Completion int
 }
 
-// Chunk is what the system reads of one chunk of a stream.
+// Chunk has the fields of one chunk of a stream that the system reads.
 type Chunk struct {
 	Text string
-	// Finished tells that the chunk gives a reason why the answer ends.
+	// Finished says that the chunk has the reason why the answer ends.
 	Finished bool
 }
 
@@ -90,8 +91,8 @@
 	Error wireError `json:"error"`
 }
 
-// ParseChunk reads one chunk. A chunk that is not JSON of the chunk's form, or
-// that carries an error instead, fails.
+// ParseChunk parses one chunk. Anything but a chunk is an error, and so is an error
+// object in its place.
 func ParseChunk(raw []byte) (Chunk, error) {
 	wire, err := decode[wireChunk](raw, "chunk")
 	if err != nil {
@@ -111,7 +112,7 @@
 	return chunk, nil
 }
 
-// EncodeToken makes the chunk of one token.
+// EncodeToken encodes the chunk of one token.
 func (a *Answer) EncodeToken(text string, first bool) ([]byte, error) {
 	delta := wireDelta{
 		Content: text,
@@ -124,7 +125,7 @@
 	}}, nil)
 }
 
-// EncodeFinish makes the chunk that says why the answer ends.
+// EncodeFinish encodes the chunk with the reason why the answer ends.
 func (a *Answer) EncodeFinish() ([]byte, error) {
 	reason := finishStop
 	return a.encodeChunk([]wireChunkChoice{{
@@ -132,14 +133,14 @@
 	}}, nil)
 }
 
-// EncodeUsage makes the chunk of the counts, which follows the finish where the
-// request asked for it.
+// EncodeUsage encodes the chunk with the token counts, which follows the finish chunk
+// if the request asked for it.
 func (a *Answer) EncodeUsage(usage Usage) ([]byte, error) {
-	counts := usage.wire()
+	counts := usage.toWire()
 	return a.encodeChunk([]wireChunkChoice{}, &counts)
 }
 
-// EncodeWhole makes the answer of a request that asked for no stream.
+// EncodeWhole encodes the answer to a request that did not ask for a stream.
 func (a *Answer) EncodeWhole(text string, usage Usage) ([]byte, error) {
 	return encode(wireAnswer{
 		ID:      a.ID,
@@ -153,7 +154,7 @@
 			},
 			FinishReason: finishStop,
 		}},
-		Usage: usage.wire(),
+		Usage: usage.toWire(),
 	}, "answer")
 }
 
@@ -168,7 +169,7 @@
 	}, "chunk")
 }
 
-func (u Usage) wire() wireUsage {
+func (u Usage) toWire() wireUsage {
 	return wireUsage{
 		PromptTokens:     u.Prompt,
 		CompletionTokens: u.Completion,
@@ -176,7 +177,7 @@
 	}
 }
 
-// ParseWhole reads a whole answer: its text and its counts.
+// ParseWhole parses an answer that is not streamed: its text and its token counts.
 func ParseWhole(body []byte) (string, Usage, error) {
 	wire, err := decode[wireAnswer](body, "answer")
 	if err != nil {
@@ -192,7 +193,7 @@
 	return wire.Choices[0].Message.Content, usage, nil
 }
 
-// EncodeError makes the body of a refusal in the OpenAI form.
+// EncodeError encodes the body of a refusal in the OpenAI format.
 func EncodeError(kind, message string) ([]byte, error) {
 	return encode(wireErrorBody{
 		Error: wireError{
--- a/internal/wire/engineapi/chat.go
+++ b/internal/wire/engineapi/chat.go
@@ -9,27 +9,27 @@
 	"github.com/pkg/errors"
 )
 
-// roleUser is the role of messages that the caller's side wrote.
+// roleUser is the role of messages from the caller.
 const roleUser = "user"
 
-// Chat is what the system reads of a chat completion request. All other fields
+// Chat has the fields of a chat completion request that the system reads. All others
 // stay in the body, which is forwarded byte for byte.
 type Chat struct {
 	Model        string
 	Messages     []Message
 	Stream       bool
 	IncludeUsage bool
-	// MaxTokens bounds the answer; 0 leaves it to the engine.
+	// MaxTokens limits the answer; 0 leaves the limit to the engine.
 	MaxTokens int
 }
 
-// Message is one message of a chat: its text parts joined.
+// Message is one message of a chat, with its text parts joined.
 type Message struct {
 	Role string
 	Text string
 }
 
-// LastUserText returns the newest text of the caller's side.
+// LastUserText returns the text of the last message from the caller.
 func (c *Chat) LastUserText() string {
 	for i := len(c.Messages) - 1; i >= 0; i-- {
 		if c.Messages[i].Role == roleUser {
@@ -39,26 +39,26 @@
 	return ""
 }
 
-// Prefixes hashes each prefix of the chat's messages, the shortest first. The
-// hash of a prefix is chained from the one before it and starts from the model,
-// so that equal hashes mean equal prefixes. Engines name prefixes so in their
-// cache events.
+// Prefixes returns a hash of each prefix of the chat's messages, the shortest first.
+// The hash of a prefix covers the hash of the one before it, and the first covers the
+// model, so that equal hashes mean equal prefixes. Engines identify prefixes by these
+// hashes in their cache events.
 func (c *Chat) Prefixes() []uint64 {
 	prefixes := make([]uint64, 0, len(c.Messages))
-	chain := xxhash.Sum64String(c.Model)
+	hash := xxhash.Sum64String(c.Model)
 	for i := range c.Messages {
 		digest := xxhash.New()
-		writeUint64(digest, chain)
+		writeUint64(digest, hash)
 		writeField(digest, c.Messages[i].Role)
 		writeField(digest, c.Messages[i].Text)
-		chain = digest.Sum64()
-		prefixes = append(prefixes, chain)
+		hash = digest.Sum64()
+		prefixes = append(prefixes, hash)
 	}
 	return prefixes
 }
 
-// writeField writes the length before the text, so that two fields can't
-// be mistaken for other two with the same joined text.
+// writeField writes the length before the text, so that different fields with the same
+// concatenation have different hashes.
 func writeField(digest *xxhash.Digest, text string) {
 	writeUint64(digest, uint64(len(text)))
 	_, _ = digest.WriteString(text) // never fails
@@ -91,8 +91,8 @@
 	Text string `json:"text"`
 }
 
-// ParseChat reads a chat completion request. It fails where the body is not
-// one JSON object of that form, or names no model.
+// ParseChat parses a chat completion request. It fails if the body is not one JSON
+// object of that format, or has no model.
 func ParseChat(body []byte) (Chat, error) {
 	wire, err := decode[wireChat](body, "chat completion request")
 	if err != nil {
@@ -123,7 +123,8 @@
 	return chat, nil
 }
 
-// messageText reads the two forms of a content: a string or a list of parts.
+// messageText returns the text of a content in either of its forms: a string or a list
+// of parts.
 func messageText(content json.RawMessage) (string, error) {
 	if len(content) == 0 || string(content) == "null" {
 		return "", nil
--- a/internal/wire/engineapi/engineapi.go
+++ b/internal/wire/engineapi/engineapi.go
@@ -1,20 +1,21 @@
-// Package engineapi has the HTTP forms that the system shares with backend
-// servers and the platform: chat completions, orders, reports, cache events,
-// the host list, the weight store and the report of plain services.
+// Package engineapi encodes and decodes the HTTP messages that the system exchanges
+// with backend servers and the platform: chat completions, orders, reports, cache
+// events, the host list, the weight store and the reports of plain services.
 //
-// The wire structs stay in this package; everything is mapped by hand to and
-// from the types of internal/domain/backend, and what does not map is an error.
+// The wire structs are private to this package. Its functions copy their fields to and
+// from the types of internal/domain/backend, and a value that has no counterpart there
+// is an error. The functions keep no state.
 //
 // # Usage
 //
 //	body, err := engineapi.EncodeOrder(order)
 //	report, err := engineapi.DecodeReport(body)
-//	chat, err := engineapi.ParseChat(body) // body itself is forwarded as it came
+//	chat, err := engineapi.ParseChat(body) // body itself is forwarded unchanged
 //
 // # Source
 //
-// Chat completions follow the published OpenAI API, also its server-sent
-// events. The other forms are the platform's own, with Pascal case names.
+// Chat completions and their server-sent events follow the published OpenAI API. The
+// other messages are those of the platform, with Pascal case names.
 package engineapi
 
 import (
@@ -26,10 +27,10 @@
 	"github.com/pkg/errors"
 )
 
-// Paths of the engines, the host list, the weight store and plain services.
+// URL paths of engines, the host list, the weight store and plain services.
 const (
 	PathChat        = "/v1/chat/completions"
-	PathRequests    = "/v1/requests/" // and the attempt's id
+	PathRequests    = "/v1/requests/" // followed by the attempt's id
 	PathOrders      = "/control/orders"
 	PathReport      = "/control/report"
 	PathCacheEvents = "/control/cache-events"
@@ -46,8 +47,8 @@
 	HeaderDeadline    = "X-Deadline"
 	HeaderResumeAt    = "X-Resume-At"
 	HeaderIncarnation = "X-Incarnation"
-	// HeaderNotRun with the value NotRunProof on a refusal is the backend
-	// server's own word that it did not run the request.
+	// HeaderNotRun with the value NotRunProof on a refusal is the backend server's own
+	// statement that it did not run the request.
 	HeaderNotRun = "X-Not-Run"
 	NotRunProof  = "true"
 )
@@ -55,15 +56,15 @@
 // ContentTypeStream is the content type of server-sent events.
 const ContentTypeStream = "text/event-stream"
 
-// StreamEnd is the data of the event that ends a whole stream.
+// StreamEnd is the data of the event that ends a complete stream.
 const StreamEnd = "[DONE]"
 
-// FormatDeadline gives a deadline as it travels in HeaderDeadline.
+// FormatDeadline formats a deadline for HeaderDeadline.
 func FormatDeadline(deadline time.Time) string {
 	return deadline.UTC().Format(time.RFC3339Nano)
 }
 
-// ParseDeadline reads HeaderDeadline; an absent one is the zero time.
+// ParseDeadline parses HeaderDeadline; an absent one is the zero time.
 func ParseDeadline(value string) (time.Time, error) {
 	if value == "" {
 		return time.Time{}, nil
@@ -72,7 +73,7 @@
 	return deadline, errors.Wrap(err, "deadline")
 }
 
-// ParseCount reads a header that carries a number of at least 0; an absent one is 0.
+// ParseCount parses a header with a number of at least 0; an absent one is 0.
 func ParseCount(value string) (int, error) {
 	if value == "" {
 		return 0, nil
@@ -87,8 +88,8 @@
 	return count, nil
 }
 
-// ParseRetryAfter reads a Retry-After header in either of its forms (RFC 9110,
-// 10.2.3) as the instant that it means. An absent or unreadable one is the zero time.
+// ParseRetryAfter parses a Retry-After header in either of its forms (RFC 9110, 10.2.3)
+// and returns the time to retry at. An absent or invalid one is the zero time.
 func ParseRetryAfter(value string, now time.Time) time.Time {
 	if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
 		return now.Add(time.Duration(seconds) * time.Second)
--- a/internal/wire/engineapi/engineapi_test.go
+++ b/internal/wire/engineapi/engineapi_test.go
@@ -13,7 +13,7 @@
 	"cicadaloom/internal/domain/backend"
 )
 
-func TestOrdersComeBackAsTheyWent(t *testing.T) {
+func TestOrderRoundTrip(t *testing.T) {
 	kinds := []backend.OrderKind{backend.LoadModel, backend.UnloadModel, backend.LoadAdapter, backend.UnloadAdapter}
 	rapid.Check(t, func(t *rapid.T) {
 		order := rapid.Make[backend.Order]().Draw(t, "order")
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestReportsComeBackAsTheyWent(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	report := backend.Report{
 		Server:      "gpu-1",
 		Incarnation: "inc-1",
@@ -65,7 +65,7 @@
 	require.Equal(t, report, decoded)
 }
 
-func TestHostsAndEventsComeBackAsTheyWent(t *testing.T) {
+func TestHostsAndCacheEventsRoundTrip(t *testing.T) {
 	hosts := []backend.Server{{
 		Name:       "p1",
 		Kind:       backend.KindService,
@@ -86,7 +86,7 @@
 		Events: []backend.CacheEvent{{
 			Number: 7,
 			Model:  "briefing",
-			Prefix: 1<<64 - 1, // JSON numbers in floating point would lose it
+			Prefix: 1<<64 - 1, // lost if decoded as a floating-point number
 			Stored: true,
 		}},
 	}
@@ -97,9 +97,9 @@
 	require.Equal(t, events, decodedEvents)
 }
 
-// What can't be true is refused as a whole: a server that is out of order, or
-// another program at its address, must not steer placement or routing.
-func TestImpossibleFormsAreRefused(t *testing.T) {
+// Messages that cannot be true are rejected as a whole: a faulty server, or another
+// program at its address, must not influence placement or routing.
+func TestInvalidFormsAreRejected(t *testing.T) {
 	report := func(body []byte) error { _, err := DecodeReport(body); return err }
 	order := func(body []byte) error { _, err := DecodeOrder(body); return err }
 	hosts := func(body []byte) error { _, err := DecodeHosts(body); return err }
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestChatReadsBothFormsOfContent(t *testing.T) {
+func TestChatContentStringOrParts(t *testing.T) {
 	chat, err := ParseChat([]byte(`{"model":"briefing","stream":true,"max_completion_tokens":9,"seed":4,"messages":[
 		{"role":"user","content":"first"},
 		{"role":"user","content":[{"type":"text","text":"sec"},{"type":"text","text":"ond"}]},
@@ -152,7 +152,7 @@
 	require.True(t, chat.Stream)
 }
 
-func TestEqualPrefixesHaveEqualHashes(t *testing.T) {
+func TestPrefixHashesDependOnModelAndMessages(t *testing.T) {
 	message := rapid.Custom(func(t *rapid.T) Message {
 		return Message{
 			Role: rapid.SampledFrom([]string{"user", "system"}).Draw(t, "role"),
@@ -178,7 +178,7 @@
 	})
 }
 
-func TestHeadersOfNumbersAndTimes(t *testing.T) {
+func TestNumberAndTimeHeaders(t *testing.T) {
 	now := time.Date(2026, 3, 4, 5, 6, 7, 800, time.UTC)
 	read, err := ParseDeadline(FormatDeadline(now))
 	require.NoError(t, err)
@@ -193,7 +193,7 @@
 	require.True(t, ParseRetryAfter("soon", now).IsZero())
 }
 
-func TestAnswersHaveTheFormOfTheAPI(t *testing.T) {
+func TestAnswersFollowOpenAIFormat(t *testing.T) {
 	answer := Answer{
 		ID:      "chatcmpl-1",
 		Created: time.Unix(5, 0),
@@ -213,7 +213,7 @@
 	token, err := answer.EncodeToken("to", true)
 	require.NoError(t, err)
 	require.True(t, json.Valid(token))
-	require.True(t, strings.Contains(string(token), `"finish_reason":null`), "clients tell the last chunk by it")
+	require.True(t, strings.Contains(string(token), `"finish_reason":null`), "clients recognize the last chunk by it")
 	chunk, err := ParseChunk(token)
 	require.NoError(t, err)
 	require.Equal(t, "to", chunk.Text)
--- a/internal/wire/engineapi/order.go
+++ b/internal/wire/engineapi/order.go
@@ -21,7 +21,8 @@
 
 // OrderAnswer is an engine's answer to an order.
 type OrderAnswer struct {
-	// Accepted tells that the engine took the order; its report says how it ends.
+	// Accepted says that the engine will carry out the order; its report says with what
+	// result.
 	Accepted bool
 	Reason   string
 }
@@ -31,7 +32,7 @@
 	Reason   string `json:",omitempty"`
 }
 
-// EncodeOrder makes the body of PathOrders.
+// EncodeOrder encodes the body for PathOrders.
 func EncodeOrder(order backend.Order) ([]byte, error) {
 	return encode(wireOrder{
 		ID:          string(order.ID),
@@ -45,14 +46,15 @@
 	}, "order")
 }
 
-// DecodeOrder reads an order. It fails where the order has no id, an unknown
-// kind, no model, no adapter for an adapter's order, or memory below 0.
+// DecodeOrder decodes an order. It fails if the order has no id, an unknown kind, no
+// model, no adapter although its kind needs one (or one although it does not), or a
+// memory below 0.
 func DecodeOrder(body []byte) (backend.Order, error) {
 	wire, err := decode[wireOrder](body, "order")
 	if err != nil {
 		return backend.Order{}, err
 	}
-	if err := wire.check(); err != nil {
+	if err := wire.validate(); err != nil {
 		return backend.Order{}, errors.Wrap(err, "order")
 	}
 	return backend.Order{
@@ -67,7 +69,7 @@
 	}, nil
 }
 
-func (w *wireOrder) check() error {
+func (w *wireOrder) validate() error {
 	if w.ID == "" || w.Model == "" {
 		return errors.New("ID, Model: found none")
 	}
@@ -89,18 +91,18 @@
 	return nil
 }
 
-// EncodeOrderAnswer makes the answer to an order.
+// EncodeOrderAnswer encodes the answer to an order.
 func EncodeOrderAnswer(answer OrderAnswer) ([]byte, error) {
 	return encode(wireOrderAnswer(answer), "order answer")
 }
 
-// DecodeOrderAnswer reads the answer to an order.
+// DecodeOrderAnswer decodes the answer to an order.
 func DecodeOrderAnswer(body []byte) (OrderAnswer, error) {
 	wire, err := decode[wireOrderAnswer](body, "order answer")
 	return OrderAnswer(wire), err
 }
 
-// CacheEvents are the events of one incarnation's prefix cache.
+// CacheEvents are events of the prefix cache of one engine incarnation.
 type CacheEvents struct {
 	Incarnation ident.Incarnation
 	Events      []backend.CacheEvent
@@ -118,7 +120,7 @@
 	Stored bool
 }
 
-// EncodeCacheEvents makes the answer to PathCacheEvents.
+// EncodeCacheEvents encodes the answer to PathCacheEvents.
 func EncodeCacheEvents(events CacheEvents) ([]byte, error) {
 	wire := wireCacheEvents{
 		Incarnation: string(events.Incarnation),
@@ -135,7 +137,8 @@
 	return encode(wire, "cache events")
 }
 
-// DecodeCacheEvents reads cache events. It fails where their numbers don't rise.
+// DecodeCacheEvents decodes cache events. It fails unless their numbers are positive
+// and increase.
 func DecodeCacheEvents(body []byte) (CacheEvents, error) {
 	wire, err := decode[wireCacheEvents](body, "cache events")
 	if err != nil {
--- a/internal/wire/engineapi/platform.go
+++ b/internal/wire/engineapi/platform.go
@@ -22,7 +22,7 @@
 	Service    string `json:",omitempty"`
 }
 
-// EncodeHosts makes the answer to PathHosts.
+// EncodeHosts encodes the answer to PathHosts.
 func EncodeHosts(servers []backend.Server) ([]byte, error) {
 	wire := wireHosts{
 		Hosts: make([]wireServer, 0, len(servers)),
@@ -33,8 +33,8 @@
 	return encode(wire, "host list")
 }
 
-// DecodeHosts reads the platform's host list. It fails as a whole where one
-// entry is unreadable or a name stands twice.
+// DecodeHosts decodes the platform's host list. It fails as a whole if one entry is
+// invalid or a name occurs twice.
 func DecodeHosts(body []byte) ([]backend.Server, error) {
 	wire, err := decode[wireHosts](body, "host list")
 	if err != nil {
@@ -43,7 +43,7 @@
 	servers := make([]backend.Server, 0, len(wire.Hosts))
 	seen := make(map[string]struct{}, len(wire.Hosts))
 	for i := range wire.Hosts {
-		server, err := wire.Hosts[i].server()
+		server, err := wire.Hosts[i].toServer()
 		if err != nil {
 			return nil, errors.Wrapf(err, "host list: Hosts[%d]", i)
 		}
@@ -56,18 +56,18 @@
 	return servers, nil
 }
 
-// EncodeServer makes one entry of the host list.
+// EncodeServer encodes one entry of the host list.
 func EncodeServer(server backend.Server) ([]byte, error) {
 	return encode(toWireServer(server), "host")
 }
 
-// DecodeServer reads one entry of the host list.
+// DecodeServer decodes one entry of the host list.
 func DecodeServer(body []byte) (backend.Server, error) {
 	wire, err := decode[wireServer](body, "host")
 	if err != nil {
 		return backend.Server{}, err
 	}
-	server, err := wire.server()
+	server, err := wire.toServer()
 	return server, errors.Wrap(err, "host")
 }
 
@@ -83,7 +83,7 @@
 	}
 }
 
-func (w *wireServer) server() (backend.Server, error) {
+func (w *wireServer) toServer() (backend.Server, error) {
 	if w.Name == "" || w.Address == "" {
 		return backend.Server{}, errors.New("Name, Address: found none")
 	}
@@ -108,7 +108,7 @@
 	}, nil
 }
 
-// WeightLoad is what an engine asks of the weight store.
+// WeightLoad is an engine's request for weights from the weight store.
 type WeightLoad struct {
 	Model   ident.ModelName
 	Adapter ident.AdapterName
@@ -123,7 +123,7 @@
 	Memory  int64
 }
 
-// EncodeWeightLoad makes the body of PathLoads.
+// EncodeWeightLoad encodes the body for PathLoads.
 func EncodeWeightLoad(load WeightLoad) ([]byte, error) {
 	return encode(wireWeightLoad{
 		Model:   string(load.Model),
@@ -133,7 +133,7 @@
 	}, "weight load")
 }
 
-// DecodeWeightLoad reads the body of PathLoads.
+// DecodeWeightLoad decodes the body for PathLoads.
 func DecodeWeightLoad(body []byte) (WeightLoad, error) {
 	wire, err := decode[wireWeightLoad](body, "weight load")
 	if err != nil {
@@ -150,9 +150,10 @@
 	}, nil
 }
 
-// WeightStatus is the weight store's word on its load.
+// WeightStatus is the weight store's report on its load.
 type WeightStatus struct {
-	// InTransit counts the loads going on, LoadsDone those ended since its start.
+	// InTransit counts the loads in progress, LoadsDone those that have ended since the
+	// store started.
 	InTransit int
 	LoadsDone int64
 }
@@ -162,12 +163,12 @@
 	LoadsDone int64
 }
 
-// EncodeWeightStatus makes the answer to PathLoadStatus.
+// EncodeWeightStatus encodes the answer to PathLoadStatus.
 func EncodeWeightStatus(status WeightStatus) ([]byte, error) {
 	return encode(wireWeightStatus(status), "weight store status")
 }
 
-// DecodeWeightStatus reads the weight store's status.
+// DecodeWeightStatus decodes the status of the weight store.
 func DecodeWeightStatus(body []byte) (WeightStatus, error) {
 	wire, err := decode[wireWeightStatus](body, "weight store status")
 	if err != nil {
--- a/internal/wire/engineapi/report.go
+++ b/internal/wire/engineapi/report.go
@@ -39,7 +39,7 @@
 	Result string
 }
 
-// EncodeReport makes the answer to PathReport.
+// EncodeReport encodes the answer to PathReport.
 func EncodeReport(report *backend.Report) ([]byte, error) {
 	wire := wireReport{
 		Server:          string(report.Server),
@@ -74,14 +74,14 @@
 	return encode(wire, "report")
 }
 
-// DecodeReport reads a report. It fails where a report can't be true: amounts
-// below 0, no incarnation, an unknown order result.
+// DecodeReport decodes a report. It fails if the report cannot be true: amounts below
+// 0, no incarnation, a resident without a model, or an unknown order result.
 func DecodeReport(body []byte) (backend.Report, error) {
 	wire, err := decode[wireReport](body, "report")
 	if err != nil {
 		return backend.Report{}, err
 	}
-	if err := wire.check(); err != nil {
+	if err := wire.validate(); err != nil {
 		return backend.Report{}, errors.Wrap(err, "report")
 	}
 	report := backend.Report{
@@ -115,7 +115,7 @@
 	return report, nil
 }
 
-func (w *wireReport) check() error {
+func (w *wireReport) validate() error {
 	if w.Incarnation == "" {
 		return errors.New("Incarnation: found none")
 	}
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// PlainReport is a plain service's word on its load.
+// PlainReport is a plain service's report on its load.
 type PlainReport struct {
 	Incarnation ident.Incarnation
 	Running     int
@@ -157,7 +157,7 @@
 	Leaving     bool
 }
 
-// EncodePlainReport makes a plain service's answer to PathReport.
+// EncodePlainReport encodes a plain service's answer to PathReport.
 func EncodePlainReport(report PlainReport) ([]byte, error) {
 	return encode(wirePlainReport{
 		Incarnation: string(report.Incarnation),
@@ -168,7 +168,7 @@
 	}, "plain report")
 }
 
-// DecodePlainReport reads a plain service's report.
+// DecodePlainReport decodes a plain service's report.
 func DecodePlainReport(body []byte) (PlainReport, error) {
 	wire, err := decode[wirePlainReport](body, "plain report")
 	if err != nil {
