--- a/internal/control/entries/entries.go
+++ b/internal/control/entries/entries.go
@@ -7,16 +7,17 @@
 // the key. A watcher that is behind returns less, but never anything that undoes a change.
 //
 // Watchers call Replace and Apply with what they read from the service, and Since for the hosts
-// that ask them; those call Hear with the result. A Cache has no lock: one goroutine owns it.
+// that ask them; those call ApplyUpdate with the result. A Cache has no lock: one goroutine
+// owns it.
 //
 // # Usage
 //
 //	var cache entries.Cache
-//	changes := cache.Replace(listing) // a complete listing
-//	changes = cache.Apply(batch)      // the changes after it
+//	changes := cache.Replace(listing)    // a complete listing
+//	changes = cache.Apply(batch)         // the changes after it
 //	update := cache.Since(revision)
 //	...
-//	changes = other.Hear(update)      // at the host that asked
+//	changes = other.ApplyUpdate(&update) // at the host that asked
 package entries
 
 import (
--- a/internal/control/holdings/holdings.go
+++ b/internal/control/holdings/holdings.go
@@ -3,23 +3,23 @@
 //
 // The leader sends its knowledge to hundreds of hosts several times a second. Nearly all of it
 // is the same each time, and most changes are to an engine's load. So each change has a number,
-// and a host names the last one that it knows (its Mark). Hosts relay updates with the leader's
-// own numbers, so a host may ask any other for the next update: changes older than those it
-// knows are ignored.
+// and a host names the last one that it knows (its Cursor). Hosts relay updates with the
+// leader's own numbers, so a host may ask any other for the next update: changes older than
+// those it knows are ignored.
 //
-// The leader's host calls Tell with what its planner returns. Watchers and other hosts call
+// The leader's host calls Replace with what its planner returns. Watchers and other hosts call
 // Apply with the updates that they receive, and Since for the hosts that ask them. A Table has
 // no lock: one goroutine owns it.
 //
 // # Usage
 //
 //	var table holdings.Table
-//	table.Tell(now, token, planner.Holdings(now)) // at the leader
-//	update := table.Since(mark)                   // for a host that knows all changes up to mark
+//	table.Replace(now, fencingNumber, planner.Holdings(now)) // at the leader
+//	update := table.Since(cursor)                            // for a host that knows all changes up to cursor
 //	...
-//	changed := table.Apply(now, &update)          // at the host that asked
-//	if table.Fresh(now) {
-//		holding, known := table.Of("i-7f3a91c2")
+//	changed := table.Apply(now, &update)                     // at the host that asked
+//	if table.IsFresh(now) {
+//		holding, known := table.Get("i-7f3a91c2")
 //	}
 package holdings
 
@@ -37,8 +37,8 @@
 // several rounds of the exchange.
 const MaxAge = 2 * time.Second
 
-// Cursor is a point in the sequence of a leader's changes: all up to Changes are known. Token is
-// the fencing number of that leader. The zero value is before all changes.
+// Cursor is a point in the sequence of a leader's changes: all up to LastChange are known. The
+// leader is identified by its fencing number. The zero value is before all changes.
 type Cursor struct {
 	FencingNumber ident.FencingNumber
 	LastChange    int64
@@ -47,18 +47,19 @@
 // Engine is what the leader knows of one engine.
 type Engine struct {
 	loading.Inventory
-	// InventoryChange and LoadChanged are the numbers of the last changes of its inventory and of
-	// its load.
+	// InventoryChange and LoadChange are the numbers of the last changes of its inventory and
+	// of its load.
 	InventoryChange int64
 	LoadChange      int64
 	// LoadOnly is whether the inventory has not changed and is left out.
 	LoadOnly bool
 }
 
-// Update has the changes since a mark.
+// Update has the changes since a cursor.
 type Update struct {
 	Cursor
-	// ReportedAt is when the leader reported them, by the clock of the host that reads the update.
+	// ReportedAt is when the leader reported them, by the clock of the host that reads the
+	// update.
 	ReportedAt time.Time
 	Engines    []Engine
 }
@@ -157,7 +158,7 @@
 	return true
 }
 
-// Since returns the changes after a mark, or everything if the mark is of another leader.
+// Since returns the changes after a cursor, or everything if the cursor is of another leader.
 func (t *Table) Since(known Cursor) Update {
 	after := known.LastChange
 	if known.FencingNumber != t.cursor.FencingNumber {
@@ -183,7 +184,7 @@
 	return update
 }
 
-// Apply applies an update since this table's mark, or since an earlier one, and returns the
+// Apply applies an update since this table's cursor, or since an earlier one, and returns the
 // engines that have changed by it. An update of an earlier leader is ignored.
 func (t *Table) Apply(now time.Time, update *Update) []Engine {
 	if update.FencingNumber < t.cursor.FencingNumber || update.FencingNumber == 0 {
--- a/internal/control/pacing/pacing.go
+++ b/internal/control/pacing/pacing.go
@@ -23,33 +23,34 @@
 // # Usage
 //
 //	var queue pacing.Queue
-//	slot, waiter := queue.Ask(now, &pacing.Prompt{
+//	reservation, waiter := queue.Reserve(now, &pacing.Prompt{
 //		Candidates: []pacing.Candidate{{
-//			Server:  "i-7f3a91c2",
-//			Reading: 60 * time.Millisecond,
-//			Places:  32,
+//			Server:      "i-7f3a91c2",
+//			PrefillTime: 60 * time.Millisecond,
+//			Slots:       32,
 //		}},
 //		Ticket:    ticket,
 //		Objective: arrived.Add(route.Objective),
-//		GiveUp:    arrived.Add(1300 * time.Millisecond),
-//		Holds:     true,
+//		AbandonAt: arrived.Add(1300 * time.Millisecond),
+//		MayWait:   true,
 //	})
 //	if waiter != nil {
-//		slot = <-waiter.Granted
+//		reservation = <-waiter.Granted
 //	}
-//	// if slot.Booked: send to slot.Server at slot.At, and when the answer is complete:
-//	queue.Ended(now, slot.Server, ticket)
+//	// if reservation.Booked: send to reservation.Server at reservation.SendAt,
+//	// and when the answer is complete:
+//	queue.Release(now, reservation.Server, ticket)
 //
-// The owner of a Queue has to call Grant regularly while prompts wait, and Heard with the loads
-// that engines report. A Queue starts no goroutines; a mutex guards it.
+// The owner of a Queue has to call GrantFree regularly while prompts wait, and UpdateLoads with
+// the loads that engines report. A Queue starts no goroutines; a mutex guards it.
 //
 // PrefillBacklogs alone books prefill time in the order of arrival; the queue is tested against
 // that (TestOverloadedQueueServesInTime).
 //
 // # Which host is the prompt scheduler
 //
-// Schedulers picks the schedulers by rendezvous hashing over the hosts of the engines' region, so
-// that all hosts pick the same ones without communication. While hosts disagree about which
+// Schedulers picks the schedulers by rendezvous hashing over the hosts of the engines' region,
+// so that all hosts pick the same ones without communication. While hosts disagree about which
 // hosts there are, an engine may have two schedulers. In a large fleet the models are divided
 // among several schedulers, and two busy models that share an engine are then balanced less
 // evenly.
@@ -68,12 +69,12 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// prefillGap is the time that stays free after each prompt: one decoding step and the variation
-// of network delay. It keeps two prompts from being prefilled in consecutive steps, so that the
-// pause between two events, which spans two steps, contains one prompt at most. Without it a
-// prompt of the largest size (0.21 s) and any other next to it pause every stream of the engine
-// for over 0.3 s.
-const prefillGap = 25 * time.Millisecond
+// defaultPrefillGap is the time that stays free after each prompt: one decoding step and the
+// variation of network delay. It keeps two prompts from being prefilled in consecutive steps,
+// so that the pause between two events, which spans two steps, contains one prompt at most.
+// Without it a prompt of the largest size (0.21 s) and any other next to it pause every stream
+// of the engine for over 0.3 s.
+const defaultPrefillGap = 25 * time.Millisecond
 
 // maxSendDelay is the longest time for which a prompt is held back before it is sent. With a
 // larger backlog the engine is overloaded: holding prompts back any longer would only make them
@@ -90,7 +91,8 @@
 const idleRetention = 10 * time.Second
 
 // PrefillBacklogs has, for each engine, the instant until which its prefill time is booked. The
-// zero value is ready to use; it is safe for concurrent use by many goroutines.
+// zero value is ready to use. Reserve is safe for concurrent use by many goroutines; a Queue
+// calls the other methods under its own lock.
 type PrefillBacklogs struct {
 	mu        sync.Mutex
 	busyUntil map[ident.ServerName]time.Time
@@ -101,27 +103,29 @@
 type Candidate struct {
 	Server ident.ServerName
 	Region ident.Region
-	// PrefillTime is the prefill time of the prompt at this engine. Beside is the rest of the
-	// expected time to the first byte: the network delay, the answers that run there, its
+	// PrefillTime is the prefill time of the prompt at this engine. OtherCost is the rest of
+	// the expected time to the first byte: the network delay, the answers that run there, its
 	// errors.
 	PrefillTime time.Duration
 	OtherCost   time.Duration
-	// Slots is the engine's number of slots, the answers that it runs at once; 0 for no limit.
+	// Slots is how many answers the engine runs at once; 0 for no limit.
 	Slots int
 }
 
 // Prompt is a request for one of its Candidates, of which there must be at least one. It is
-// booked only at a cost of at most Most, and does not wait in the queue if it has such a bound.
-// PrefillBacklogs books it only behind a backlog of at most MaxBacklog. 0 stands for no bound.
+// booked only at a cost of at most MaxCost, and does not wait in the queue if it has such a
+// bound. PrefillBacklogs books it only behind a backlog of at most MaxBacklog. 0 stands for no
+// bound.
 type Prompt struct {
 	Candidates []Candidate
 	MaxCost    time.Duration
 	MaxBacklog time.Duration
-	// PrefillGap is the time that the engine stays free after the prompt; 0 stands for prefillGap.
+	// PrefillGap is the time that the engine stays free after the prompt; 0 stands for
+	// defaultPrefillGap.
 	PrefillGap time.Duration
 	// Ticket identifies the prompt.
 	Ticket Ticket
-	// Objective is the latest instant at which the first event is in time, GiveUp the one at
+	// Objective is the latest instant at which the first event is in time, AbandonAt the one at
 	// which the prompt is abandoned. Priority ranks prompts, 0 is the most urgent.
 	Objective time.Time
 	AbandonAt time.Time
@@ -130,18 +134,19 @@
 	MayWait bool
 }
 
-// Reservation is an engine and the instant at which to send a prompt there. Index is the engine's
-// position among the candidates.
+// Reservation is an engine and the instant at which to send a prompt there. Index is the
+// engine's position among the candidates.
 type Reservation struct {
 	Server ident.ServerName
 	Index  int
 	SendAt time.Time
-	// Cost is the expected time from now to the first byte. Ahead is the part of it before the
-	// engine starts the prefill: its backlog, or the wait for a slot.
+	// Cost is the expected time from now to the first byte. StartDelay is the part of it before
+	// the engine starts the prefill: its backlog, or the wait for a slot.
 	Cost       time.Duration
 	StartDelay time.Duration
-	// Booked is whether the engine is reserved for the prompt. Full is whether no engine is
-	// expected to start it before it is abandoned. If neither is set, the caller may try again.
+	// Booked is whether the engine is reserved for the prompt; if not, the rest is an estimate.
+	// QueueFull is whether no engine is expected to start the prompt before it is abandoned. If
+	// neither is set, the caller may try again.
 	Booked    bool
 	QueueFull bool
 }
@@ -165,7 +170,7 @@
 func (b *PrefillBacklogs) add(now time.Time, prompt *Prompt, reservation *Reservation) {
 	prefillTime := prompt.Candidates[reservation.Index].PrefillTime
 	if reservation.StartDelay <= maxSendDelay {
-		prefillTime += cmp.Or(prompt.PrefillGap, prefillGap)
+		prefillTime += cmp.Or(prompt.PrefillGap, defaultPrefillGap)
 	}
 	b.busyUntil[reservation.Server] = now.Add(min(reservation.StartDelay+prefillTime, maxBacklog))
 }
@@ -210,7 +215,7 @@
 	}
 }
 
-// Host is a host that may be a prompt scheduler. Power is its CPU capacity in cores.
+// Host is a host that may be a prompt scheduler. CPUCapacity is in cores.
 type Host struct {
 	Name        ident.HostID
 	Address     string
@@ -260,12 +265,13 @@
 	return all
 }
 
-// strongFraction is the fraction of the largest CPU capacity in the fleet that makes a host
+// strongFraction is the fraction of the largest CPU capacity among the hosts that makes a host
 // strong.
 const strongFraction = 0.5
 
-// PickStrongHosts picks hosts for a key as PickHosts does, but strong ones before all others: a
-// host with a fifth of a core does its duties late while another has most of its core to spare.
+// PickStrongHosts picks hosts for a key as PickHosts does, but first those with at least
+// strongFraction of the largest CPU capacity: a host with a fifth of a core does its duties
+// late while another has most of its core to spare.
 func PickStrongHosts(hosts []Host, key string, limit int) []Host {
 	strongest := 0.0
 	for i := range hosts {
--- a/internal/control/pacing/queue.go
+++ b/internal/control/pacing/queue.go
@@ -43,22 +43,22 @@
 	slotTimeWeight  = 0.02
 )
 
-// DelayPerRunningAnswer is what each running answer adds to the time to the first event: its share of the
-// decoding steps between which the prompt is prefilled.
+// DelayPerRunningAnswer is what each running answer adds to the time to the first event: its
+// share of the decoding steps between which the prompt is prefilled.
 const DelayPerRunningAnswer = 700 * time.Microsecond
 
 // Waiter is a prompt in the queue.
 type Waiter struct {
-	// Granted receives the slot.
+	// Granted receives the reservation.
 	Granted chan Reservation
 	prompt  *Prompt
 	// minCost is the cost of the cheapest candidate without a backlog.
 	minCost time.Duration
 }
 
-// Reserve returns a slot at once, or a waiter if no engine is free. If the prompt can't be sent
-// within its bounds, it returns neither, but an estimate that isn't booked; it is Full if no
-// engine is expected to start the prompt before it is abandoned.
+// Reserve returns a reservation at once, or a waiter if no engine is free. If the prompt can't
+// be sent within its bounds, it returns neither, but an estimate that isn't booked; QueueFull
+// is set in it if no engine is expected to start the prompt before it is abandoned.
 func (q *Queue) Reserve(now time.Time, prompt *Prompt) (Reservation, *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Remove removes a waiter. A slot that it has been granted meanwhile stays booked.
+// Remove removes a waiter. A reservation that it has been granted meanwhile stays booked.
 func (q *Queue) Remove(waiter *Waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/control/registry/registry.go
+++ b/internal/control/registry/registry.go
@@ -7,15 +7,15 @@
 // removed only some time after the service's return, by when servers that are alive have
 // written their entries again.
 //
-// The control goroutine of each entry host owns a Machine and calls it with the changes that it
-// receives from the service. A Machine has no lock and starts no goroutines.
+// The control goroutine of each entry host owns a Table and calls it with the changes that it
+// receives from the service. A Table has no lock and starts no goroutines.
 //
 // # Usage
 //
-//	var machine registry.Machine
-//	machine.Put(now, registration)
-//	machine.Remove(now, "i-7f3a91c2")
-//	for _, registration := range machine.Servers(now) {
+//	var table registry.Table
+//	table.Put(now, registration)
+//	table.Remove(now, "i-7f3a91c2")
+//	for _, registration := range table.Servers(now) {
 //		...
 //	}
 package registry
@@ -37,8 +37,7 @@
 	leftRetention = time.Minute
 )
 
-// Table has the entries. The zero value is empty and ready to use; it belongs to one
-// goroutine.
+// Table has the entries. The zero value is empty and ready to use; it belongs to one goroutine.
 type Table struct {
 	entries map[ident.ServerName]*entry
 	// leftAt has the incarnations that have announced that they leave, and when they last did.
@@ -59,8 +58,8 @@
 	missingUntil time.Time
 }
 
-// RecordFailure records that the service has failed a call, and extends the time in which missing
-// entries may come back.
+// RecordFailure records that the service has failed a call, and extends the time in which
+// missing entries may come back.
 func (t *Table) RecordFailure(now time.Time) {
 	t.failedAt = now
 	for _, e := range t.entries {
--- a/internal/control/retries/lend.go
+++ b/internal/control/retries/lend.go
@@ -6,26 +6,17 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Lending. In a large fleet a host's own part is a few retries in a window, and servers
-// that fail press on all hosts at chance: one has spent its part when others have all of
-// theirs left. So hosts give what they can spare to a host near by, the lender, who lends
-// it one by one to those that need it.
-//
-// What is given counts as spent at the giver, at the instant of giving. The lender lends
-// no more in any window than it was given in it. So the sum over all hosts stays what it
-// was, and a gift or a loan that gets lost makes it less.
-
 // In a large fleet a host's own share is a few retries in a window, and failing servers hit all
 // hosts at random: one has spent its share when others have all of theirs left. So hosts
-// transfer the tokens that they can spare to a host near by, the lender, who lends them one by
+// transfer the tokens that they can spare to a host near by, the lender, which lends them one by
 // one to hosts that need them.
 //
 // A transferred token counts as spent at its host from the instant of the transfer. The lender
 // lends no more tokens in any window than it has received in it. So the sum over all hosts
 // stays the same, and a transfer or loan that is lost only reduces it.
 
-// ownReserve is the number of tokens that a host keeps for itself: a loan takes a message to
-// the lender.
+// ownReserve is the number of tokens that a host keeps for itself, because a loan takes a
+// message to the lender and back.
 const ownReserve = 2
 
 // Transfer is a number of tokens that a host transfers to the lender.
--- a/internal/control/retries/retries.go
+++ b/internal/control/retries/retries.go
@@ -4,7 +4,7 @@
 // that don't depend on requests. The hosts keep this budget without communication: each spends
 // the fraction of the requests that it has received itself, and its own share of the rest.
 // Their sum never exceeds the whole budget, whichever hosts are partitioned. A host can
-// transfer tokens that it has left to a lender, who lends them to others (Spare, Receive,
+// transfer tokens that it has left to a lender, which lends them to others (TakeSurplus, Receive,
 // Lend).
 //
 // A Budget starts no goroutines; a mutex guards it. The relay takes a token before each retry.
@@ -17,7 +17,7 @@
 //		Slack:  54,
 //	})
 //	budget.SetHosts(7)
-//	budget.Arrived(now, "dispatch-desk")
+//	budget.CountRequest(now, "dispatch-desk")
 //	if budget.Take(now, "dispatch-desk") {
 //		// retry
 //	}
@@ -45,7 +45,7 @@
 	Window time.Duration
 	// Slack is the number of further retries allowed in a window, over all hosts.
 	Slack float64
-	// StartedAt is the time at which this host's process started.
+	// StartedAt is when this host's process started.
 	StartedAt time.Time
 }
 
--- a/internal/control/routetable/routetable.go
+++ b/internal/control/routetable/routetable.go
@@ -11,7 +11,7 @@
 //	if found == nil {
 //		// 404
 //	}
-//	service := routetable.Share(found, rand.Uint64())
+//	service := routetable.PickService(found, rand.Uint64())
 package routetable
 
 import (
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// PickService picks one of a route's targets by weight, with random bits, and returns its service:
-// the first target's if no weight is positive, none if there are no targets.
+// PickService picks one of a route's targets by weight, with random bits, and returns its
+// service: the first target's if no weight is positive, none if there are no targets.
 func PickService(r *route.Route, random uint64) ident.ServiceName {
 	total := 0
 	for _, target := range r.Targets {
