--- a/internal/control/loading/loading.go
+++ b/internal/control/loading/loading.go
@@ -8,20 +8,20 @@
 // new leader's planner to know the state of the engines. It has no locks and starts no
 // goroutines: all calls must come from one goroutine.
 //
-// Other types are Holding, what is loaded on one engine, for routing requests; and Past and
-// Held, with which hosts track the loads of the current leader, so that the next one
-// respects the load rate limit of the weight store.
+// Other types are Inventory, what is loaded on one engine, for routing requests; and
+// LoadHistory and LoadedModels, with which hosts track the loads of the current leader, so
+// that the next one respects the load rate limit of the weight store.
 //
 // # Usage
 //
 //	planner := loading.NewPlanner(loading.Options{})
-//	planner.Declare(service.Engine)
+//	planner.Configure(service.Engine)
 //	planner.SetServers(servers)
-//	planner.Report(report)
-//	planner.Ask(now, region, weights, demand)
+//	planner.ApplyReport(report)
+//	planner.AddDemand(now, region, weights, demand)
 //	for _, order := range planner.Step(now) {
 //		// send it, then:
-//		planner.Answered(now, order.Server, &order, answer)
+//		planner.ApplyAnswer(now, order.Server, &order, answer)
 //	}
 //
 // # Why memory is never overcommitted
@@ -141,7 +141,7 @@
 	Model  ident.ModelName
 	// ForModel is the model that needs the memory; empty if the memory is to be kept free.
 	ForModel ident.ModelName
-	// Work is the expected work for Model. Left is the score by which the replica was
+	// Work is the expected work for Model. Score is the value by which the replica was
 	// chosen: the work for each remaining replica plus penalties, or the value of the move
 	// that needs the memory. Replicas is the number of remaining replicas.
 	Work     float64
