--- a/internal/control/balance/balance.go
+++ b/internal/control/balance/balance.go
@@ -11,15 +11,15 @@
 //
 // # Usage
 //
-//	pool := balance.NewPool(balance.Place{
+//	pool := balance.NewPool(balance.Location{
 //		DataCentre: "brest-a",
 //		Region:     "finistere",
 //	})
 //	pool.SetServers(servers)
-//	ticket, verdict := pool.Take(now, balance.Ask{
+//	ticket, verdict := pool.Take(now, balance.Criteria{
 //		Weights: r.Weights(),
 //		Prompt:  r.Prompt,
-//		Dice:    rand.Uint64(),
+//		Random:  rand.Uint64(),
 //	})
 //	if verdict == balance.Found {
 //		// send to ticket.Address
@@ -31,7 +31,7 @@
 // lists the candidate engines, and gives a ticket for the engine that the scheduler
 // reserved.
 //
-//	candidates, verdict := pool.Offers(now, criteria)
+//	candidates, verdict := pool.Candidates(now, criteria)
 //	...
 //	ticket := pool.TakeReserved(now, criteria, reservation)
 //
--- a/internal/control/balance/choose.go
+++ b/internal/control/balance/choose.go
@@ -76,8 +76,8 @@
 	return p.newTicket(now, best, criteria), Found
 }
 
-// Candidates returns the engines that can answer a prompt now, for a prompt scheduler to choose
-// among.
+// Candidates returns the engines that can answer a prompt now, for a prompt scheduler to
+// choose among.
 func (p *Pool) Candidates(now time.Time, criteria Criteria) ([]pacing.Candidate, Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/suspects/suspects.go
+++ b/internal/control/suspects/suspects.go
@@ -15,16 +15,16 @@
 //
 // # Usage
 //
-//	machine.Step(now, suspects.Death{
+//	machine.Step(now, suspects.Crash{
 //		Fingerprint: fingerprint,
-//		Life: suspects.Life{
+//		ServerIncarnation: suspects.ServerIncarnation{
 //			Server:      "brest-a-gpu-03",
 //			Incarnation: "inc-7",
 //		},
 //	})
 //	switch machine.View().Verdict(fingerprint) {
-//	case suspects.Refuse: // answer at once
-//	case suspects.Alone:  // choose a replica with no requests in flight
+//	case suspects.Refuse:     // answer at once
+//	case suspects.ServeAlone: // choose a replica with no requests in flight
 //	}
 package suspects
 
@@ -71,8 +71,8 @@
 // Event is an input of the machine.
 type Event interface{ isEvent() }
 
-// LostAttempt is an attempt at a request during which a backend server stopped responding. It is
-// not an event: whether the server crashed has to be found out first.
+// LostAttempt is an attempt at a request during which a backend server stopped responding.
+// It is not an event: whether the server crashed has to be found out first.
 type LostAttempt struct {
 	Fingerprint       ident.Fingerprint
 	Request           ident.RequestID
@@ -210,7 +210,8 @@
 	return all
 }
 
-// Latest returns at most limit suspects, to be sent to peers: those with the latest crashes.
+// Latest returns at most limit suspects, to be sent to peers: those with the latest
+// crashes.
 func (m *Machine) Latest(limit int) []Suspect {
 	all := m.All()
 	if len(all) <= limit {
--- a/internal/traffic/relay/relay.go
+++ b/internal/traffic/relay/relay.go
@@ -12,15 +12,15 @@
 // # Usage
 //
 //	handler := &relay.Handler{
-//		Codec:     platform.Ingress{},
-//		Knowledge: control,
-//		Upstream:  &upstream.Client{},
-//		Budget:    retries.New(options),
-//		Log:       log,
-//		Metrics:   relay.NewMetrics(set),
-//		Now:       time.Now,
-//		Dice:      rand.Uint64,
-//		Ended:     shutdown,
+//		Codec:        platform.Ingress{},
+//		ControlPlane: control,
+//		Upstream:     &upstream.Client{},
+//		Budget:       retries.New(options),
+//		Log:          log,
+//		Metrics:      relay.NewMetrics(set),
+//		Now:          time.Now,
+//		Random:       rand.Uint64,
+//		Shutdown:     shutdown,
 //	}
 //	server := http.Server{
 //		Handler: handler,
@@ -162,9 +162,9 @@
 
 // StopBy announces that the host stops. From now on every answer closes its connection, so
 // that clients use another host for their next request. A stream that arrives after
-// lastStreamStart, or any request that might not be answered by end, is refused at once, since it
-// would be cut. Requests that are still in flight at end get their final answer when
-// Handler.Ended ends.
+// lastStreamStart, or any request that might not be answered by end, is refused at once,
+// since it would be cut. Requests that are still in flight at end get their final answer
+// when Handler.Shutdown ends.
 func (h *Handler) StopBy(lastStreamStart, end time.Time) {
 	h.plannedStop.Store(&plannedStop{
 		lastStreamStart: lastStreamStart,
