--- a/internal/control/decisions/decisions.go
+++ b/internal/control/decisions/decisions.go
@@ -79,8 +79,8 @@
 	// Message gives the reason in words; for a move it is the reason's name.
 	Message string
 	RetryAt time.Time
-	// ReadyReplicas and Want are the numbers of ready and wanted replicas, before the
-	// move, of the model that gains one.
+	// ReadyReplicas and WantedReplicas are those of the model that gains a
+	// replica, before the move.
 	ReadyReplicas  int
 	WantedReplicas int
 }
--- a/internal/control/demand/demand.go
+++ b/internal/control/demand/demand.go
@@ -10,12 +10,12 @@
 //
 // # Usage
 //
-//	machine.Step(demand.Asked{Counts: counts, Interval: interval})
-//	rates := machine.ToTell(leader)
+//	machine.Step(demand.RequestCounts{Counts: counts, Interval: interval})
+//	rates := machine.RatesToSend(leader)
 //	// send the rates to the leader, then
-//	machine.Step(demand.Taken{Leader: leader, Rates: rates})
+//	machine.Step(demand.RatesAccepted{Leader: leader, Rates: rates})
 //	// and on the leader
-//	machine.Step(demand.Told{Host: host, DataCentre: dataCentre, Rates: rates})
+//	machine.Step(demand.HostRates{Host: host, DataCentre: dataCentre, Rates: rates})
 //	sums := machine.Sums()
 package demand
 
--- a/internal/control/orders/message.go
+++ b/internal/control/orders/message.go
@@ -119,7 +119,7 @@
 // closed.
 type Command interface{ command() }
 
-// GrantLease asks for a lease, to be kept alive until DropLease.
+// GrantLease asks for a lease, to be kept alive until RevokeLease.
 type GrantLease struct{}
 
 // RevokeLease asks to revoke a lease and to stop keeping it alive.
@@ -160,7 +160,7 @@
 	Deadline time.Time
 }
 
-// RecordMove reports a move whose order is recorded in the plan, for logs and metrics.
+// RecordMove asks to log and count a move whose order is recorded in the plan.
 type RecordMove struct {
 	Move RecordedMove
 }
--- a/internal/control/orders/poll.go
+++ b/internal/control/orders/poll.go
@@ -6,9 +6,9 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// RegularPollers hosts poll the leader key once in every LeaderPoll interval. The others
-// take turns, so that the number of polls does not grow with the fleet, and some
-// host polls soon even if the leader and all Lookers hosts crash together.
+// RegularPollers hosts poll the leader key once in every LeaderPoll interval. The
+// others take turns, so that the number of polls does not grow with the fleet, and
+// some host polls soon even if the leader and all regular pollers crash together.
 const (
 	// RegularPollers is the number of hosts that poll in every interval, evenly spread
 	// over it.
@@ -102,7 +102,7 @@
 }
 
 // HeldFencing returns the fencing number under which this machine holds the leader key,
-// as far as it knows, or zero. Unlike Leading it includes the time in which the
+// as far as it knows, or zero. Unlike IsLeading it includes the time in which the
 // new leader reads the plan.
 func (m *Machine) HeldFencing() ident.FencingNumber {
 	if m.phase == phaseLeading || m.phase == phaseReading {
--- a/internal/control/orders/settings.go
+++ b/internal/control/orders/settings.go
@@ -16,7 +16,7 @@
 	// hash of its name. It may be changed: servers that have a page stay there.
 	Pages int
 	// LeaderPoll is the time between two polls of the leader key by a
-	// follower. Followers that take turns poll less often; see Lookers.
+	// follower. Followers that take turns poll less often; see RegularPollers.
 	LeaderPoll time.Duration
 	// PlanEvery is the minimum time between two plan writes.
 	PlanEvery time.Duration
