--- a/internal/control/claims/commands.go
+++ b/internal/control/claims/commands.go
@@ -77,8 +77,8 @@
 const (
 	// ProofNone goes with all other verdicts.
 	ProofNone Proof = iota
-	// ProofAttemptNotRun proves that this attempt was not run and never will be. Earlier
-	// attempts at the same key may have run.
+	// ProofAttemptNotRun proves that this attempt was not run and never will be.
+	// Earlier attempts at the same key may have run.
 	ProofAttemptNotRun
 	// ProofKeyFree proves in addition that the key was free after the claim arrived.
 	ProofKeyFree
@@ -103,7 +103,7 @@
 	Body     []byte
 	// Digest is the xxhash of the recorded answer's body.
 	Digest uint64
-	// RetryAt is when a retry may succeed; zero where no retry can.
+	// RetryAt is when a retry is worthwhile; zero where none is.
 	RetryAt time.Time
 	// Reason is a text for people.
 	Reason string
@@ -113,7 +113,7 @@
 type UpdateResult struct {
 	Attempt ident.AttemptID
 	Origin  ident.HostID
-	// UpdateResult says that the finish or release is in the log, or that a release is
+	// Recorded says that the finish or release is in the log, or that a release is
 	// not needed since another attempt holds the key. It is false where the attempt
 	// does not hold the key, the queue or the log is full, or the event is invalid.
 	Recorded bool
--- a/internal/control/claims/doc.go
+++ b/internal/control/claims/doc.go
@@ -56,21 +56,21 @@
 //
 // Every Refused and KeyReused answer proves that this attempt was not run and never
 // will be. Whether an earlier attempt at the same key was run can't be found out
-// while the service is down. Answer.Proof says which of the two is known: ProofKey
-// where the log, read after the request arrived, shows the key free, for example
-// when the log is full; otherwise ProofAttempt. A caller that receives ProofAttempt
-// may repeat the request under the same key, never under a new one.
+// while the service is down. Answer.Proof says which of the two is known: ProofKeyFree
+// where the log, read after the request arrived, shows the key free, for example when
+// the log is full; otherwise ProofAttemptNotRun. A caller that receives
+// ProofAttemptNotRun may repeat the request under the same key, never under a new one.
 //
 // # Group commit
 //
 // The owner of a partition, chosen by rendezvous hash over the live entry hosts,
 // collects claims and updates (finishes and releases) and writes at most one swap in
-// each Options.Pace for a partition on average; a partition that was idle writes at
-// once. Updates wait up to Options.FinishDelay for a claim whose swap they can join.
-// Other hosts forward to the owner, and write themselves when it does not answer
-// within a share of the request's deadline. Ownership only avoids contention: hosts
-// that disagree about the owner lose swaps to each other, and each slows down. An
-// owner that does not answer gets nothing for Options.OwnerBackoff.
+// each Options.SwapInterval for a partition on average; a partition that was idle
+// writes at once. Updates wait up to Options.FinishDelay for a claim whose swap they
+// can join. Other hosts forward to the owner, and write themselves when it does not
+// answer within a share of the time to the request's deadline. Ownership only avoids
+// contention: hosts that disagree about the owner lose swaps to each other, and each
+// slows down. An owner that does not answer gets nothing for Options.OwnerBackoff.
 //
 // A host that stops sends Stopping, so that updates don't wait any more, and exits
 // when the machine is Idle.
@@ -98,10 +98,10 @@
 //		case claims.ReadPartition: // Get or List, then the event PageRead
 //		case claims.SwapPartition: // Swap, then the event SwapAnswered
 //		case claims.ForwardClaim: // gRPC to the owner, then ClaimForwarded
-//		case claims.ForwardFinish: // gRPC to the owner, then NoteForwarded
+//		case claims.ForwardFinish: // gRPC to the owner, then UpdateForwarded
 //		case claims.ForwardRelease: // the same
 //		case claims.Answer: // to the sender of the event Claim
-//		case claims.Recorded: // to the sender of the event Finish or Release
+//		case claims.UpdateResult: // to the sender of the event Finish or Release
 //		}
 //	}
 //	wakeAt := machine.NextTick() // send Tick then; zero: no need
--- a/internal/control/claims/options.go
+++ b/internal/control/claims/options.go
@@ -59,7 +59,7 @@
 
 // Options are the machine's settings. A zero field takes its default.
 type Options struct {
-	// Host is the name of this host, as in Homes.
+	// Host is the name of this host, as in LiveHosts.
 	Host ident.HostID
 	// Partitions must be the same on all hosts and must never change: it decides
 	// which partition a key belongs to.
