--- a/internal/control/documents/doc.go
+++ b/internal/control/documents/doc.go
@@ -16,7 +16,7 @@
 //		CallTimeout:  loaded.Control.CallTimeout,
 //		WatchSilence: loaded.Control.WatchSilence,
 //	})
-//	commands := machine.Step(now, documents.Started{Watch: true})
+//	commands := machine.Step(now, documents.Started{ShouldWatch: true})
 //	for _, command := range commands {
 //		switch command := command.(type) {
 //		case documents.List: // kv.List, then Step a ListingRead or a ListFailed
@@ -25,14 +25,14 @@
 //		case documents.Read: // kv.Get, then Step a ReadAnswered
 //		case documents.Swap: // kv.Swap, then Step NewSwapAnswered(call, result, err)
 //		case documents.AnswerEdit: // send the result to the operator
-//		case documents.InForce: // publish the snapshot to the traffic goroutines
-//		case documents.Complain: // log
+//		case documents.PublishSnapshot: // publish the snapshot to the traffic goroutines
+//		case documents.ReportUnreadable: // log
 //		}
 //	}
 //
 // Step a Tick several times a second. In each exchange with a peer, send
-// machine.Since(revision that the peer reported last) and step the peer's message
-// as PeerSpoke.
+// machine.MessageSince(revision that the peer reported last) and step the peer's
+// message as PeerMessageReceived.
 //
 // # Keys
 //
@@ -55,7 +55,7 @@
 //
 // Accepted, Conflict, Refused and Unavailable are final; the last three say that
 // the edit is not in force and will not be. Unknown says that it may be: submit it
-// again under the same id with Again set.
+// again under the same id with IsResubmitted set.
 //
 // # No revert
 //
--- a/internal/control/documents/machine.go
+++ b/internal/control/documents/machine.go
@@ -19,8 +19,8 @@
 	CallTimeout time.Duration
 	// WatchSilence is how long a watch may deliver no batch before it counts as broken.
 	WatchSilence time.Duration
-	// RefreshInterval is the interval between listings that nothing else requires. They help
-	// a host that missed an edit that its peers don't have either.
+	// RefreshInterval is the interval between listings that nothing else requires.
+	// They help a host that missed an edit that its peers don't have either.
 	RefreshInterval time.Duration
 }
 
--- a/internal/control/documents/message.go
+++ b/internal/control/documents/message.go
@@ -28,8 +28,8 @@
 	ShouldWatch bool
 }
 
-// WatchAssignmentChanged changes whether this host watches the key-value service. A host that
-// doesn't watch gets documents from its peers.
+// WatchAssignmentChanged sets whether this host watches the key-value service. A
+// host that doesn't watch gets documents from its peers.
 type WatchAssignmentChanged struct {
 	ShouldWatch bool
 }
@@ -66,8 +66,8 @@
 	// Text is the new document. If Delete is set, the document is deleted instead.
 	Text   []byte
 	Delete bool
-	// IsResubmitted is set if an earlier submission may have taken effect: its result was
-	// Unknown, or never came.
+	// IsResubmitted is set if an earlier submission may have taken effect: its
+	// result was Unknown, or never came.
 	IsResubmitted bool
 	// Deadline is the latest time of the answer to the operator.
 	Deadline time.Time
--- a/internal/control/reports/reports.go
+++ b/internal/control/reports/reports.go
@@ -9,15 +9,15 @@
 // it has changed.
 //
 // A Machine is a state machine without clock, goroutine or lock: the goroutine that
-// owns it passes events to Step and gets the messages for peers from Word.
+// owns it passes events to Step and gets the messages for peers from MessageFor.
 //
 // # Usage
 //
 //	var machine reports.Machine
-//	machine.Step(now, reports.Listed{Servers: servers})
-//	machine.Step(now, reports.Polled{Report: report})
-//	message := machine.Word(reports.Reader{Host: peer.Host, Region: peer.Region}, ackedVersion)
-//	result := machine.Step(now, reports.Told{From: peer.Host, Word: received})
+//	machine.Step(now, reports.ServersListed{Servers: servers})
+//	machine.Step(now, reports.ReportPolled{Report: report})
+//	message := machine.MessageFor(reports.Recipient{Host: peer.Host, Region: peer.Region}, ackedVersion)
+//	result := machine.Step(now, reports.PeerMessageReceived{From: peer.Host, Message: received})
 //
 // # Order of reports
 //
@@ -80,8 +80,8 @@
 type Message struct {
 	ServerLoads []ServerLoad
 	Inventories []InventoryReport
-	// ThroughVersion is the version up to which the sender has now sent all changes. More
-	// is set if there are changes after it.
+	// ThroughVersion is the version up to which the sender has now sent all changes.
+	// HasMore is set if there are changes after it.
 	ThroughVersion uint64
 	HasMore        bool
 }
