--- a/internal/control/admission/admission.go
+++ b/internal/control/admission/admission.go
@@ -21,9 +21,9 @@
 //	team := server.Team("kerlouan", []int{50, 30}) // control goroutine
 //
 //	position := team.Peek(class)                   // traffic goroutines
-//	if lateness, refused := position.Refuse(load, now, limit); refused { ... }
-//	ticket := team.Enter(class)
-//	defer ticket.Leave(answered)
+//	if lateness, refused := position.ShouldRefuse(load, now, limit); refused { ... }
+//	ticket := team.Acquire(class)
+//	defer ticket.Release(answered)
 //	send(ticket.Priority())
 //
 // Nothing here takes a lock: credits and counts are atomic, and if two requests
--- a/internal/control/admission/refuse.go
+++ b/internal/control/admission/refuse.go
@@ -75,11 +75,11 @@
 // teams: an engine's queue is bounded, and a full one refuses all teams alike.
 const overTeamTimeShare = 0.5
 
-// ShouldRefuse reports whether a request should be refused at once, because it would not
-// be answered by the limit, and by how much it would be late. Queued, it would only
-// take the place of a request that can still be in time. If there is no queue
-// before it, nothing is refused: a promised time that even an idle server can't
-// meet is no reason to answer nobody.
+// ShouldRefuse reports whether a request should be refused at once, because it would
+// not be answered by the limit, and by how much it would be late. Queued, it would
+// only take the place of a request that can still be in time. If there is no queue
+// before it, nothing is refused: a promised time that even an idle server can't meet
+// is no reason to answer nobody.
 func (p QueuePosition) ShouldRefuse(load ServerLoad, now, limit time.Time) (time.Duration, bool) {
 	if load.Queue < load.Slots {
 		return 0, false
--- a/internal/control/burn/burn.go
+++ b/internal/control/burn/burn.go
@@ -17,7 +17,7 @@
 //		Result: burn.InTime,
 //	})
 //	lines := burn.Report(now, slices.Concat(machine.Rows(now), peersRows))
-//	text := burn.Text(lines, hostsThatDidNotAnswer)
+//	text := burn.FormatText(lines, hostsThatDidNotAnswer)
 //
 // # Terms
 //
--- a/internal/control/burn/report.go
+++ b/internal/control/burn/report.go
@@ -106,8 +106,8 @@
 	return lines
 }
 
-// FormatText formats a report for a terminal. missing are the hosts whose counts are not
-// in it.
+// FormatText formats a report for a terminal. missing are the hosts whose counts are
+// not in it.
 func FormatText(lines []Line, missing []ident.HostID) string {
 	var text strings.Builder
 	if len(lines) == 0 {
@@ -121,7 +121,8 @@
 	return text.String()
 }
 
-// FormatMissingHosts returns a sentence that names the hosts whose counts a report lacks.
+// FormatMissingHosts returns a sentence that names the hosts whose counts a report
+// lacks.
 func FormatMissingHosts(missing []ident.HostID) string {
 	names := make([]string, 0, len(missing))
 	for _, host := range missing {
--- a/internal/control/routing/choose.go
+++ b/internal/control/routing/choose.go
@@ -23,12 +23,12 @@
 	Deadline time.Time
 	// Random has random bits, the same for each choice of one request.
 	Random uint64
-	// PrefixHash is a hash of the request's beginning; requests with the same one find
-	// their prompt in the same replica's cache.
+	// PrefixHash is a hash of the request's beginning; requests with the same one
+	// find their prompt in the same replica's cache.
 	PrefixHash uint64
 	// Fingerprint is a hash of the request's content.
 	Fingerprint uint64
-	// PairOnly restricts the choice to the two replicas preferred for Prefix and
+	// PairOnly restricts the choice to the two replicas preferred for PrefixHash and
 	// Fingerprint. All hosts find the same two, so that no more than two replicas
 	// run a content, however many copies of the request arrive at however many
 	// hosts.
--- a/internal/control/routing/load_tracker.go
+++ b/internal/control/routing/load_tracker.go
@@ -69,8 +69,8 @@
 	reportValidUntil atomic.Int64
 }
 
-// StartRequest counts a request that is about to be sent. It reports whether the request
-// is likely to wait there for a slot.
+// StartRequest counts a request that is about to be sent. It reports whether the
+// request is likely to wait there for a slot.
 func (t *LoadTracker) StartRequest(now time.Time) bool {
 	t.addInFlight(now, 1)
 	return t.EstimateQueue(now) > t.Slots()
@@ -78,11 +78,11 @@
 
 // Timing is how long a whole answer took. The zero Timing changes no average.
 type Timing struct {
-	// FirstToken and Whole are measured from the sending of the request. FirstToken
+	// FirstToken and Total are measured from the sending of the request. FirstToken
 	// is zero if unknown, as with an answer that came in one piece.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Queued is what Begin returned.
+	// Queued is what StartRequest returned.
 	Queued bool
 }
 
@@ -94,9 +94,9 @@
 	t.updateTimes(timing)
 }
 
-// updateTimes updates the averages of the server's own times, without the wait in its
-// queue. If that wait were included, a server that was once busy would look slow:
-// it would get no more requests, and so nothing would correct its figure.
+// updateTimes updates the averages of the server's own times, without the wait in
+// its queue. If that wait were included, a server that was once busy would look
+// slow: it would get no more requests, and so nothing would correct its figure.
 func (t *LoadTracker) updateTimes(timing Timing) {
 	switch {
 	case timing.Total == 0:
@@ -110,8 +110,8 @@
 	}
 }
 
-// RecordRefusal counts the end of a request that the server has refused to run. A refusal
-// is an answer: it does not eject.
+// RecordRefusal counts the end of a request that the server has refused to run. A
+// refusal is an answer: it does not eject.
 func (t *LoadTracker) RecordRefusal(now time.Time) {
 	t.addInFlight(now, -1)
 }
@@ -121,7 +121,8 @@
 	t.addInFlight(now, -1)
 }
 
-// RecordFailure counts the end of a request that was cut off, hung or could not connect.
+// RecordFailure counts the end of a request that was cut off, hung or could not
+// connect.
 func (t *LoadTracker) RecordFailure(now time.Time) {
 	t.addInFlight(now, -1)
 	failures := t.failures.Add(1)
--- a/internal/control/routing/machine.go
+++ b/internal/control/routing/machine.go
@@ -67,7 +67,8 @@
 	Report backend.Report
 }
 
-// PeerInFlight has the requests that another entry host has in flight at each server.
+// PeerInFlight has the requests that another entry host has in flight at each
+// server.
 type PeerInFlight struct {
 	Host     ident.HostID
 	Requests map[ident.ServerName]int64
@@ -86,8 +87,8 @@
 	Incarnation ident.Incarnation
 }
 
-// HostCount has the number of live entry hosts in this host's region, including this
-// one.
+// HostCount has the number of live entry hosts in this host's region, including
+// this one.
 type HostCount struct {
 	InRegion int
 }
@@ -110,9 +111,9 @@
 	case ReportReceived:
 		m.applyReport(now, e.Report)
 	case PeerInFlight:
-		m.applyPeerLoads(e)
+		m.applyPeerInFlight(e)
 	case PeerGone:
-		m.applyPeerLoads(PeerInFlight{
+		m.applyPeerInFlight(PeerInFlight{
 			Host: e.Host,
 		})
 	case HostCount:
@@ -122,8 +123,8 @@
 	}
 }
 
-// Requests returns the requests that this host has in flight at each server, for its
-// peers.
+// Requests returns the requests that this host has in flight at each server, for
+// its peers.
 func (m *Machine) InFlight() map[ident.ServerName]int64 {
 	requests := make(map[ident.ServerName]int64)
 	for name, server := range m.servers {
@@ -134,8 +135,8 @@
 	return requests
 }
 
-// LeavingServers returns the servers that have reported that they are leaving, or for
-// which a ServerLeaving event came.
+// LeavingServers returns the servers that have reported that they are leaving, or
+// for which a ServerLeaving event came.
 func (m *Machine) LeavingServers() []ServerLeaving {
 	var leaving []ServerLeaving
 	for name, server := range m.servers {
--- a/internal/control/routing/server.go
+++ b/internal/control/routing/server.go
@@ -190,7 +190,7 @@
 	return time.Time{}, false
 }
 
-func (m *Machine) applyPeerLoads(e PeerInFlight) {
+func (m *Machine) applyPeerInFlight(e PeerInFlight) {
 	for name, server := range m.servers {
 		requests := e.Requests[name]
 		if requests == server.peersInFlight[e.Host] {
--- a/internal/control/routing/sim_test.go
+++ b/internal/control/routing/sim_test.go
@@ -70,12 +70,12 @@
 }
 
 type simRequest struct {
-	arrived time.Time
-	replica *Replica
-	prefix  uint64
-	first   time.Time
-	end     time.Time
-	queued  bool
+	arrivedAt    time.Time
+	replica      *Replica
+	prefix       uint64
+	firstTokenAt time.Time
+	endsAt       time.Time
+	queued       bool
 }
 
 type simServer struct {
@@ -144,12 +144,12 @@
 // advanceServer ends and starts the requests that are due at a server.
 func (s *sim) advanceServer(server *simServer) {
 	server.running = slices.DeleteFunc(server.running, func(r *simRequest) bool {
-		if r.end.After(s.now) {
+		if r.endsAt.After(s.now) {
 			return false
 		}
 		r.replica.LoadTracker.RecordAnswer(s.now, Timing{
-			FirstToken: r.first.Sub(r.arrived),
-			Total:      r.end.Sub(r.arrived),
+			FirstToken: r.firstTokenAt.Sub(r.arrivedAt),
+			Total:      r.endsAt.Sub(r.arrivedAt),
 			Queued:     r.queued,
 		})
 		return true
@@ -177,9 +177,9 @@
 	if s.mixedLengths {
 		tokens *= s.rng.ExpFloat64()
 	}
-	r.first = s.now.Add(time.Duration(slowdown * float64(first)))
-	r.end = r.first.Add(time.Duration(slowdown * tokens * float64(simTimePerToken) * (1 + share)))
-	s.ttfts = append(s.ttfts, r.first.Sub(r.arrived))
+	r.firstTokenAt = s.now.Add(time.Duration(slowdown * float64(first)))
+	r.endsAt = r.firstTokenAt.Add(time.Duration(slowdown * tokens * float64(simTimePerToken) * (1 + share)))
+	s.ttfts = append(s.ttfts, r.firstTokenAt.Sub(r.arrivedAt))
 }
 
 func (v *simServer) lookUp(prefix uint64, size int) bool {
@@ -236,8 +236,8 @@
 
 func (s *sim) addRequest(h int) {
 	r := &simRequest{
-		arrived: s.now,
-		prefix:  s.rng.Uint64(),
+		arrivedAt: s.now,
+		prefix:    s.rng.Uint64(),
 	}
 	if s.prefixCount > 0 {
 		// A few prefixes are common and most are rare.
--- a/internal/control/routing/table.go
+++ b/internal/control/routing/table.go
@@ -12,13 +12,13 @@
 //
 //	target, found := table.Target("briefing")
 //	choice, err := policy.Choose(target, &routing.Request{
-//		Now:    now,
-//		Dice:   rand.Uint64(),
-//		Prefix: hash,
+//		Now:        now,
+//		Random:     rand.Uint64(),
+//		PrefixHash: hash,
 //	})
-//	queued := choice.Replica.Gauge.Begin(now)
+//	queued := choice.Replica.LoadTracker.StartRequest(now)
 //	...
-//	choice.Replica.Gauge.Answered(now, routing.Timing{...})
+//	choice.Replica.LoadTracker.RecordAnswer(now, routing.Timing{...})
 //
 // # Cost of a replica
 //
@@ -104,8 +104,8 @@
 // missingDuration is longer than it takes to receive the report that says so.
 const missingDuration = 2 * time.Second
 
-// MarkMissing records that the server has answered that it does not have what the target
-// needs: it has restarted, or was ordered to unload it, and its report lags.
+// MarkMissing records that the server has answered that it does not have what the
+// target needs: it has restarted, or was ordered to unload it, and its report lags.
 // Without this a server that lost its models attracts the requests for all of them,
 // because it refuses at once and so looks idle.
 func (r *Replica) MarkMissing(now time.Time) {
