--- a/internal/control/loop/claims.go
+++ b/internal/control/loop/claims.go
@@ -35,17 +35,17 @@
 		case claims.ForwardClaim:
 			c.forwardClaim(now, command)
 		case claims.ForwardFinish:
-			c.forwardRecord(command.To, command.Finish.Attempt, func(ctx context.Context, address string) (bool, error) {
+			c.forwardUpdate(command.To, command.Finish.Attempt, func(ctx context.Context, address string) (bool, error) {
 				return c.pool.Finish(ctx, address, command.Finish)
 			})
 		case claims.ForwardRelease:
-			c.forwardRecord(command.To, command.Release.Attempt, func(ctx context.Context, address string) (bool, error) {
+			c.forwardUpdate(command.To, command.Release.Attempt, func(ctx context.Context, address string) (bool, error) {
 				return c.pool.Release(ctx, address, command.Release)
 			})
 		case claims.Answer:
 			c.answerClaim(command)
 		case claims.UpdateResult:
-			c.answerRecord(command)
+			c.answerUpdate(command)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	})
 }
 
-func (c *control) forwardRecord(host ident.HostID, attempt ident.AttemptID, call func(ctx context.Context, address string) (bool, error)) {
+func (c *control) forwardUpdate(host ident.HostID, attempt ident.AttemptID, call func(ctx context.Context, address string) (bool, error)) {
 	address, _ := c.membership.Address(host)
 	c.startWorker(c.callTimeout(), func(ctx context.Context) {
 		recorded, err := call(ctx, address)
@@ -143,20 +143,20 @@
 		attempt: answer.Attempt,
 		origin:  answer.Origin,
 	}
-	if waiting, found := c.claimWaiters[key]; found {
+	if waiter, found := c.claimWaiters[key]; found {
 		delete(c.claimWaiters, key)
-		waiting <- answer
+		waiter <- answer
 	}
 }
 
-func (c *control) answerRecord(recorded claims.UpdateResult) {
+func (c *control) answerUpdate(result claims.UpdateResult) {
 	key := waiterKey{
-		attempt: recorded.Attempt,
-		origin:  recorded.Origin,
+		attempt: result.Attempt,
+		origin:  result.Origin,
 	}
-	if waiting, found := c.recordWaiters[key]; found {
-		delete(c.recordWaiters, key)
-		waiting <- recorded.Recorded
+	if waiter, found := c.updateWaiters[key]; found {
+		delete(c.updateWaiters, key)
+		waiter <- result.Recorded
 	}
 }
 
@@ -216,21 +216,21 @@
 	})
 }
 
-// recordRequest is a finish or release that another host waits to see recorded.
-type recordRequest struct {
+// updateRequest is a finish or release; another host waits until it is recorded.
+type updateRequest struct {
 	key    waiterKey
 	event  claims.Event
 	answer chan bool
 }
 
-func (m recordRequest) apply(now time.Time, c *control) {
-	c.recordWaiters[m.key] = m.answer
+func (m updateRequest) apply(now time.Time, c *control) {
+	c.updateWaiters[m.key] = m.answer
 	c.runClaimCommands(now, c.claims.Step(now, m.event))
 }
 
 // FinishForPeer implements entryhost.Handler.
 func (l *Loop) FinishForPeer(ctx context.Context, finish claims.Finish) (bool, error) {
-	return l.record(ctx, waiterKey{
+	return l.submitUpdate(ctx, waiterKey{
 		attempt: finish.Attempt,
 		origin:  finish.Origin,
 	}, finish)
@@ -238,15 +238,15 @@
 
 // ReleaseForPeer implements entryhost.Handler.
 func (l *Loop) ReleaseForPeer(ctx context.Context, release claims.Release) (bool, error) {
-	return l.record(ctx, waiterKey{
+	return l.submitUpdate(ctx, waiterKey{
 		attempt: release.Attempt,
 		origin:  release.Origin,
 	}, release)
 }
 
-func (l *Loop) record(ctx context.Context, key waiterKey, event claims.Event) (bool, error) {
+func (l *Loop) submitUpdate(ctx context.Context, key waiterKey, event claims.Event) (bool, error) {
 	answer := make(chan bool, 1)
-	if !l.send(recordRequest{
+	if !l.send(updateRequest{
 		key:    key,
 		event:  event,
 		answer: answer,
--- a/internal/control/loop/leader_test.go
+++ b/internal/control/loop/leader_test.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// Hints go on naming a crashed leader, as from a lagging peer, or for a leader that
-// is cut off from all hosts but this one. The regular pollers must read the key all
-// the same.
+// Hints go on naming a crashed leader: a lagging peer sends such hints, and so does
+// a leader that is cut off from all hosts but this one. The regular pollers must
+// read the key all the same.
 func TestStaleLeaderHintDoesNotDelayTakeover(t *testing.T) {
 	for _, hosts := range []int{3, 7, 46} {
 		e := newElectionWithLeader(t, hosts, true)
@@ -129,7 +129,7 @@
 
 // A rack fails with the leader and both regular pollers in it. For some seconds
 // the other hosts rely on these to poll; the next host in turn must find the key free.
-func TestTakeoverWhenRegularPollersDieWithLeader(t *testing.T) {
+func TestTakeoverWhenRegularPollersCrashWithLeader(t *testing.T) {
 	const pollerTurn = 2 * time.Second
 	for _, hintsFrozen := range []bool{false, true} {
 		e := newElectionWithLeader(t, 46, true)
--- a/internal/control/loop/loop.go
+++ b/internal/control/loop/loop.go
@@ -158,7 +158,7 @@
 	epoch uint64
 	// The waiters get an answer each when the machine decides.
 	claimWaiters   map[waiterKey]chan claims.Answer
-	recordWaiters  map[waiterKey]chan bool
+	updateWaiters  map[waiterKey]chan bool
 	editWaiters    map[ident.EditID][]chan documents.EditResult
 	memoryByServer memoryByServer
 	firstListedAt  map[ident.ServerName]time.Time
--- a/internal/control/loop/peers.go
+++ b/internal/control/loop/peers.go
@@ -174,7 +174,7 @@
 type exchangeDone struct {
 	peer  membership.Peer
 	reply entryhost.Message
-	// hasMore reports whether this host's message left changes out for lack of room.
+	// hasMore reports whether some changes did not fit into this host's message.
 	hasMore bool
 	err     error
 }
--- a/internal/control/loop/placement.go
+++ b/internal/control/loop/placement.go
@@ -106,8 +106,8 @@
 	ttl := l.options.Settings.Control.LeaderLease
 	l.tomb.Go(func() error {
 		ctx := l.tomb.Context(context.Background())
-		// The instant before the call: the service may count the lease from any
-		// moment after it, so that this host never takes the lease for valid too long.
+		// Taken before the call: the service may count the lease from any moment
+		// after it, and this host must not take the lease for valid too long.
 		requestedAt := time.Now()
 		lease, err := l.options.KeyValue.GrantLease(ctx, ttl)
 		if err != nil {
--- a/internal/control/loop/servers.go
+++ b/internal/control/loop/servers.go
@@ -20,7 +20,7 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// Checks whether a backend server crashed after it fell silent during a request.
+// How often a backend server that fell silent during a request is checked for a crash.
 const (
 	crashChecks        = 20
 	crashCheckInterval = 250 * time.Millisecond
--- a/internal/control/loop/start.go
+++ b/internal/control/loop/start.go
@@ -50,7 +50,7 @@
 		peerStates:     make(map[ident.HostID]*peerState),
 		epoch:          rand.Uint64(),
 		claimWaiters:   make(map[waiterKey]chan claims.Answer),
-		recordWaiters:  make(map[waiterKey]chan bool),
+		updateWaiters:  make(map[waiterKey]chan bool),
 		editWaiters:    make(map[ident.EditID][]chan documents.EditResult),
 		memoryByServer: make(memoryByServer),
 		firstListedAt:  make(map[ident.ServerName]time.Time),
@@ -99,14 +99,14 @@
 	return maphash.String(maphash.MakeSeed(), string(host))
 }
 
-// AnnounceStop announces to peers that this host is stopping. It no longer owns
+// AnnounceStop reports to peers that this host is stopping. It no longer owns
 // partitions or leads; claims that it has begun are finished.
 func (l *Loop) AnnounceStop() {
 	l.stopping.Store(true)
 	l.send(stopAnnounced{})
 }
 
-// stopAnnounced makes an exchange due at once.
+// stopAnnounced makes an exchange due at once and gives up the leadership.
 type stopAnnounced struct{}
 
 func (stopAnnounced) apply(now time.Time, c *control) {
@@ -115,7 +115,7 @@
 	c.runClaimCommands(now, c.claims.Step(now, claims.Stopping{}))
 }
 
-// Resume withdraws Stopping: the host may own partitions and lead again. A peer
+// Resume undoes AnnounceStop: the host may own partitions and lead again. A peer
 // that has become the leader meanwhile goes on leading, and partitions come back
 // as the other hosts see this one live.
 func (l *Loop) Resume() {
@@ -123,7 +123,7 @@
 	l.send(stopWithdrawn{})
 }
 
-// stopWithdrawn makes an exchange due at once.
+// stopWithdrawn makes an exchange due at once and lets this host lead again.
 type stopWithdrawn struct{}
 
 func (stopWithdrawn) apply(now time.Time, c *control) {
@@ -132,17 +132,17 @@
 	c.runClaimCommands(now, c.claims.Step(now, claims.Resumed{}))
 }
 
-// settlePollInterval is the time between two checks of Settle.
-const settlePollInterval = 10 * time.Millisecond
+// claimsPollInterval is the time between two checks of WaitForClaims.
+const claimsPollInterval = 10 * time.Millisecond
 
 // WaitForClaims waits until no claim, finish or release of this host's requests is left to
 // write, and no caller or peer waits for one.
 func (l *Loop) WaitForClaims(ctx context.Context) error {
-	ticker := time.NewTicker(settlePollInterval)
+	ticker := time.NewTicker(claimsPollInterval)
 	defer ticker.Stop()
 	for {
 		settled, err := runOnControl(ctx, l, func(_ time.Time, c *control) bool {
-			return c.claims.Idle() && len(c.claimWaiters) == 0 && len(c.recordWaiters) == 0
+			return c.claims.Idle() && len(c.claimWaiters) == 0 && len(c.updateWaiters) == 0
 		})
 		if err != nil || settled {
 			return err
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -16,16 +16,16 @@
 // # Usage
 //
 //	machine := membership.Machine{Self: self}
-//	machine.Step(now, membership.Listed{Hosts: hosts})
+//	machine.Step(now, membership.HostsListed{Hosts: hosts})
 //	for _, peer := range machine.Targets(now, false) {
-//		message := machine.Word(now, peer.Host, cursor)
+//		message := machine.MessageFor(now, peer.Host, cursor)
 //		// exchange it with peer.Address
 //	}
-//	machine.Step(now, membership.Heard{
-//		From: peer.Host,
-//		Word: theirs,
+//	machine.Step(now, membership.PeerMessageReceived{
+//		From:    peer.Host,
+//		Message: theirs,
 //	})
-//	owners := machine.Live(now)
+//	owners := machine.LiveHosts(now)
 //
 // # Cost
 //
@@ -110,7 +110,7 @@
 	Peers      []Peer
 	Heartbeats []Heartbeat
 	// ThroughVersion is the sender's version up to which the receiver now has every
-	// change. More tells that later changes did not fit in.
+	// change. HasMore reports whether later changes did not fit in.
 	ThroughVersion uint64
 	HasMore        bool
 }
