--- a/internal/domain/backend/backend.go
+++ b/internal/domain/backend/backend.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	free := report.Memory - report.Taken()
+//	free := report.Memory - report.MemoryUsed()
 //	order := backend.Order{
 //		ID:      "ord-17",
 //		Fencing: 4,
@@ -63,8 +63,8 @@
 type Report struct {
 	Server      ident.ServerName
 	Incarnation ident.Incarnation
-	// ReportedAt is when the report was made, by the engine's clock; a report that carries no
-	// time has the time at which it was decoded.
+	// ReportedAt is when the report was made, by the engine's clock; for a report that
+	// carries no time, when it was decoded.
 	ReportedAt time.Time
 	// Memory is all accelerator memory of the server.
 	Memory unit.Bytes
@@ -93,7 +93,7 @@
 	// It shows whether an order can still take effect at an engine that counts: an
 	// order that was sent for a smaller count can't.
 	OrdersAccepted int64
-	// LoadingAdapters has the adapters that are being loaded.
+	// LoadingAdapters are the adapters that are being loaded.
 	LoadingAdapters []Resident
 	// InHostMemory and OnDisk are the models whose weights the server has a copy of
 	// in host memory and on disk.
@@ -180,7 +180,7 @@
 // CountedOrder is an order to an engine that counts the orders that it accepts.
 type CountedOrder struct {
 	Order
-	// Leader is the leader that sends the order.
+	// Leader is the host that sends the order.
 	Leader ident.HostID
 	// Server is the engine that the order is meant for; any other refuses it.
 	Server ident.ServerName
