--- a/internal/domain/outcome/outcome.go
+++ b/internal/domain/outcome/outcome.go
@@ -1,22 +1,22 @@
 // Package outcome derives whether a request was run from a record of its attempts.
 //
 // An error that reports "not run" must be true even when hosts crash, answers are lost
-// and messages arrive late. Therefore no code sets an outcome directly: a Trail records
-// what happened to the request, and the outcome is derived from the record. NotRun
-// results only if no attempt was sent, or if each attempt that was sent was refused by
-// its backend server or never got a connection.
+// and messages arrive late. Therefore no code sets an outcome directly: an
+// AttemptHistory records what happened to the request, and the outcome is derived from
+// the record. NotRun results only if no attempt was sent, or if each attempt that was
+// sent was refused by its backend server or never got a connection.
 //
 // # Usage
 //
-//	var trail outcome.Trail
-//	trail.Sending(attempt)      // before the first byte is sent
-//	trail.Refused(attempt)      // the server reported that it did not run it
-//	trail.Outcome()             // NotRun: the only attempt was refused
+//	var history outcome.AttemptHistory
+//	history.RecordSend(attempt)    // before the first byte is sent
+//	history.RecordRefusal(attempt) // the server reported that it did not run it
+//	history.Outcome()              // NotRun: the only attempt was refused
 //
-// The zero Trail is that of a request without attempts. The zero Outcome is
+// The zero AttemptHistory is that of a request without attempts. The zero Outcome is
 // MayHaveRun, which claims nothing.
 //
-// A Trail is used by one goroutine, the one that serves the request.
+// An AttemptHistory is used by one goroutine, the one that serves the request.
 package outcome
 
 import "cicadaloom/internal/domain/ident"
@@ -79,8 +79,8 @@
 	delete(t.inDoubt, attempt)
 }
 
-// RecordFinish records that an attempt's complete answer, with its end mark, was received.
-// An attempt that isn't in doubt is ignored.
+// RecordFinish records that an attempt's complete answer, with its end mark, was
+// received. It ignores an attempt that isn't in doubt.
 func (t *AttemptHistory) RecordFinish(attempt ident.AttemptID) {
 	if _, isInDoubt := t.inDoubt[attempt]; isInDoubt {
 		t.isFinished = true
--- a/internal/domain/outcome/outcome_test.go
+++ b/internal/domain/outcome/outcome_test.go
@@ -9,36 +9,36 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// An Outcome or Trail that was never set must not claim more than is known.
+// A zero Outcome or AttemptHistory must not claim more than is known.
 func TestZeroValuesAreSafe(t *testing.T) {
 	var outcome Outcome
 	require.Equal(t, "MayHaveRun", outcome.String())
-	var trail AttemptHistory
-	require.True(t, trail.Outcome().IsNotRun())
+	var history AttemptHistory
+	require.True(t, history.Outcome().IsNotRun())
 }
 
 // A refusal arrives for an attempt that was never sent, or after the answer, or an
 // answer after the refusal. None of these may turn a request that ran into NotRun.
 func TestRefusalsProveOnlyTheirOwnAttempt(t *testing.T) {
-	var trail AttemptHistory
-	trail.RecordSend("a")
-	trail.RecordRefusal("b")
-	require.Equal(t, "MayHaveRun", trail.Outcome().String())
-	trail.RecordRefusal("a")
-	require.Equal(t, "NotRun", trail.Outcome().String())
-	trail.RecordFinish("a")
-	require.Equal(t, "NotRun", trail.Outcome().String(), "an answer to an attempt that was refused")
-	trail.RecordSend("c")
-	trail.RecordFinish("c")
-	trail.RecordRefusal("c")
-	require.Equal(t, "Ran", trail.Outcome().String())
+	var history AttemptHistory
+	history.RecordSend("a")
+	history.RecordRefusal("b")
+	require.Equal(t, "MayHaveRun", history.Outcome().String())
+	history.RecordRefusal("a")
+	require.Equal(t, "NotRun", history.Outcome().String())
+	history.RecordFinish("a")
+	require.Equal(t, "NotRun", history.Outcome().String(), "an answer to an attempt that was refused")
+	history.RecordSend("c")
+	history.RecordFinish("c")
+	history.RecordRefusal("c")
+	require.Equal(t, "Ran", history.Outcome().String())
 }
 
 // In any order of events, the outcome is NotRun only if each attempt that was sent was
 // refused, no other attempt holds the claim, and none was finished.
 func TestNotRunIsNeverFalse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var trail AttemptHistory
+		var history AttemptHistory
 		inDoubt := make(map[ident.AttemptID]bool)
 		isFinished, isClaimed := false, false
 		attempts := rapid.SampledFrom([]ident.AttemptID{"a", "b", "c"})
@@ -46,23 +46,23 @@
 			attempt := attempts.Draw(t, "attempt")
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				trail.RecordSend(attempt)
+				history.RecordSend(attempt)
 				inDoubt[attempt] = true
 			case 1:
-				trail.RecordRefusal(attempt)
+				history.RecordRefusal(attempt)
 				delete(inDoubt, attempt)
 			case 2:
-				trail.RecordFinish(attempt)
+				history.RecordFinish(attempt)
 				isFinished = isFinished || inDoubt[attempt]
 			case 3:
-				trail.RecordClaimFound()
+				history.RecordClaimFound()
 				isClaimed = true
 			case 4:
-				trail.RecordFinishFound()
+				history.RecordFinishFound()
 				isFinished = true
 			}
-			require.Equal(t, !isFinished && !isClaimed && len(inDoubt) == 0, trail.Outcome().IsNotRun())
-			require.Equal(t, isFinished, trail.Outcome().IsRan())
+			require.Equal(t, !isFinished && !isClaimed && len(inDoubt) == 0, history.Outcome().IsNotRun())
+			require.Equal(t, isFinished, history.Outcome().IsRan())
 		}
 	})
 }
