--- a/internal/domain/request/request.go
+++ b/internal/domain/request/request.go
@@ -44,15 +44,15 @@
 	Adapter ident.AdapterName // empty for the model itself
 	// PromptTokens is the length of the prompt, as the client gave it.
 	PromptTokens unit.Tokens
-	// MaxOutputTokens is the maximum to generate, LikelyOutput the client's estimate; zero
-	// if it gave none.
+	// MaxOutputTokens is the maximum to generate, EstimatedOutputTokens the client's
+	// estimate; zero if it gave none.
 	MaxOutputTokens       unit.Tokens
 	EstimatedOutputTokens unit.Tokens
 	PromptParts           []PromptPart
 }
 
-// PromptPart is a part of a prompt that other requests may have too. An engine can have a
-// part in its cache only together with all parts before it.
+// PromptPart is a part of a prompt that other requests may have too. An engine can have
+// a part in its cache only together with all parts before it.
 type PromptPart struct {
 	ID     uint64
 	Tokens unit.Tokens
