--- a/internal/domain/route/route.go
+++ b/internal/domain/route/route.go
@@ -119,8 +119,8 @@
 	Memory        unit.Bytes
 	Adapters      []ident.AdapterName
 	AdapterMemory unit.Bytes
-	// LoadTime, DiskTime and WarmTime are the durations of a load from the weight
-	// store, from the server's disk and from the server's host memory.
+	// StoreLoadTime, DiskLoadTime and HostMemoryLoadTime are the durations of a load
+	// from the weight store, from the server's disk and from the server's host memory.
 	StoreLoadTime      time.Duration
 	DiskLoadTime       time.Duration
 	HostMemoryLoadTime time.Duration
