--- a/internal/peer/etcd/main_test.go
+++ b/internal/peer/etcd/main_test.go
@@ -62,7 +62,8 @@
 	return listener.Addr().String()
 }
 
-// putOver returns a swap that puts a key if its last write is that of an entry.
+// putOver returns a swap that puts a key if it still has the revision of an entry read
+// before.
 func putOver(key, value string, over store.Entry) store.Swap {
 	return store.Swap{
 		Compares: []store.Compare{{
--- a/internal/peer/etcd/watch.go
+++ b/internal/peer/etcd/watch.go
@@ -46,7 +46,7 @@
 // Watch returns deliver's error, or the context's once that is done. In all other cases
 // it returns store.ErrWatchBroken: the service can't be reached, has compacted the
 // requested changes, went back to an older revision, or sent nothing for longer than
-// Options.WatchSilence in spite of progress requests. That may happen at once, so the
+// Options.WatchTimeout in spite of progress requests. That may happen at once, so the
 // caller must limit the rate of its retries.
 func (c *Client) Watch(ctx context.Context, prefix string, after ident.Revision, deliver func(store.Batch) error) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -75,10 +75,10 @@
 // responses on this stream reset the timeout, and because the service has to answer each
 // progress request.
 func (w *watch) run(ctx context.Context) error {
-	limit := w.client.options.WatchTimeout
-	timeout := time.NewTimer(limit)
-	defer timeout.Stop()
-	progressTicker := time.NewTicker(limit / (progressRequestsPerTimeout + 1))
+	timeout := w.client.options.WatchTimeout
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	progressTicker := time.NewTicker(timeout / (progressRequestsPerTimeout + 1))
 	defer progressTicker.Stop()
 	var stream watchClientStream
 	for {
@@ -88,12 +88,12 @@
 			if err := w.handleResponse(response); err != nil {
 				return err
 			}
-			timeout.Reset(limit)
-			progressTicker.Reset(limit / (progressRequestsPerTimeout + 1))
+			timer.Reset(timeout)
+			progressTicker.Reset(timeout / (progressRequestsPerTimeout + 1))
 		case <-progressTicker.C:
 			w.requestProgress(stream)
-		case <-timeout.C:
-			return w.newBrokenError(errors.Errorf("no response for %s", limit))
+		case <-timer.C:
+			return w.newBrokenError(errors.Errorf("no response for %s", timeout))
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "watch")
 		case <-w.receiver.Dead():
