--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -24,8 +24,8 @@
 // At most Slots requests run. Up to QueueLimit others wait in a queue, ordered by
 // priority, then by arrival. A running request takes
 //
-//	first token:  FirstToken * (1 - 0.8*cached) * SlowFactor
-//	each further: PerToken * (1 + running/Slots) * SlowFactor
+//	first token:  FirstTokenTime * (1 - 0.8*cached) * SlowFactor
+//	each further: TimePerToken * (1 + running/Slots) * SlowFactor
 //
 // where cached is the share of its messages whose prefix is cached, and running is
 // the number of requests that run when the token is generated.
--- a/internal/standin/etcd/server.go
+++ b/internal/standin/etcd/server.go
@@ -16,7 +16,7 @@
 //	server.SetFaults(etcd.Faults{
 //		LoseAnswers: 1,
 //	})
-//	http.Serve(admin, server.FaultsHandler())
+//	http.Serve(admin, server.AdminHandler())
 //
 // # Quotas
 //
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -7,8 +7,8 @@
 //	address, err := service.Start("127.0.0.1:0")
 //	defer service.Stop()
 //
-// Any method and path is answered with status 200 and an Echo as JSON, after Work.
-// At most Slots requests run at once; QueueLimit others wait, in order of arrival.
+// Any method and path is answered with status 200 and an Echo as JSON, after
+// WorkTime. At most Slots requests run at once; QueueLimit others wait, in order of arrival.
 // `GET /stats` returns Stats, `GET /control/report` the server load. Faults are
 // set at /faults.
 //
@@ -72,7 +72,7 @@
 	Refuse bool
 	// LeaveNow refuses requests as Refuse does, and reports Leaving.
 	LeaveNow bool
-	// WorkFor replaces the option Work, if it is not 0.
+	// WorkFor replaces the option WorkTime, if it is not 0.
 	WorkFor fault.Duration
 }
 
--- a/internal/standin/plain/plain_test.go
+++ b/internal/standin/plain/plain_test.go
@@ -59,7 +59,7 @@
 }
 
 // A service that was frozen while its client timed out runs the request when it
-// resumes, after the caller was told that it failed.
+// resumes: the error that the client gets must not prove that it was not run.
 func TestFrozenServiceRunsAbandonedRequest(t *testing.T) {
 	b := startService(t, Options{})
 	b.Faults.Set(Faults{
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	p, err := platform.Start(platform.Options{
-//		Place: platform.Place{
+//		Location: platform.Location{
 //			DataCentre: "brest-a",
 //			Region:     "finistere",
 //		},
@@ -34,7 +34,7 @@
 // anyPortAddress listens on a free port that the system chooses.
 const anyPortAddress = "127.0.0.1:0"
 
-// Location is the location of a host.
+// Location is where a host runs.
 type Location struct {
 	DataCentre ident.DataCentre
 	Region     ident.Region
@@ -42,7 +42,7 @@
 
 // Options configures a Platform.
 type Options struct {
-	// Location is the location of all hosts that are added.
+	// Location is that of all hosts that are added.
 	Location Location
 	// LoadsPerSecond is the weight store's load rate; zero takes its default.
 	LoadsPerSecond float64
@@ -125,8 +125,8 @@
 	})
 }
 
-// AddPlainService starts a plain service, registers it in the host list and returns its
-// address.
+// AddPlainService starts a plain service, registers it in the host list and returns
+// its address.
 func (p *Platform) AddPlainService(name ident.ServerName, service ident.ServiceName, options plain.Options) (string, error) {
 	added := plain.New(options)
 	address, err := added.Start(anyPortAddress)
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -8,12 +8,13 @@
 //	defer store.Stop()
 //
 // `POST /loads` answers when the load is done. A model takes
-// AtOnce/LoadsPerSecond alone, 6.7 s with the defaults, and n concurrent models
-// take max(1, n/AtOnce) times as long, so that the whole store completes at most
-// LoadsPerSecond. An adapter takes between AdapterFastest and AdapterSlowest, by
-// the hash of its name, and max(1, n/AdaptersAtOnce) times as long with n
-// concurrent adapters. When n changes, loads in progress speed up or slow down.
-// `GET /status` returns the number of loads in progress and done.
+// FullSpeedLoads/LoadsPerSecond alone, 6.7 s with the defaults, and n concurrent
+// models take max(1, n/FullSpeedLoads) times as long, so that the whole store
+// completes at most LoadsPerSecond. An adapter takes between MinAdapterTime and
+// MaxAdapterTime, by the hash of its name, and max(1, n/FullSpeedAdapterLoads)
+// times as long with n concurrent adapters. When n changes, loads in progress
+// speed up or slow down. `GET /status` returns the number of loads in progress and
+// done.
 //
 // The faults, set at /faults, are Down (connections are closed without an answer),
 // FreezeRequests (requests wait until it is cleared), SlowFactor (multiplies the
