--- a/internal/peer/caller/caller.go
+++ b/internal/peer/caller/caller.go
@@ -16,10 +16,10 @@
 // # Usage
 //
 //	server := caller.Server{
-//		Dispatcher: dispatcher,
-//		Knowledge:  loop,
-//		Settings:   settings.Callers,
-//		Log:        log,
+//		Dispatcher:   dispatcher,
+//		ControlPlane: loop,
+//		Settings:     settings.Callers,
+//		Log:          log,
 //	}
 //	address, err := server.Start("127.0.0.1:8080")
 //	...
@@ -100,19 +100,20 @@
 	return bound, errors.Wrap(err, "callers")
 }
 
-// RefuseRequests makes the server refuse new requests as "not run" while those in flight go on.
-// The health check fails too, which takes the host out of the platform's load balancer.
+// RefuseRequests makes the server refuse new requests as "not run" while those in
+// flight go on. The health check fails too, which takes the host out of the platform's
+// load balancer.
 func (s *Server) RefuseRequests() {
 	s.isRefusing.Store(true)
 }
 
-// AnnounceStop makes the health check fail while requests are still served, so that the load
-// balancer stops sending new ones first.
+// AnnounceStop makes the health check fail while requests are still served, so that the
+// load balancer stops sending new ones first.
 func (s *Server) AnnounceStop() {
 	s.isLeaving.Store(true)
 }
 
-// AcceptRequests undoes Refuse.
+// AcceptRequests undoes RefuseRequests.
 func (s *Server) AcceptRequests() {
 	s.isRefusing.Store(false)
 }
--- a/internal/peer/caller/headers.go
+++ b/internal/peer/caller/headers.go
@@ -22,8 +22,8 @@
 	HeaderClass = "Cicadaloom-Class"
 	// HeaderCaller names the caller, for logs.
 	HeaderCaller = "Cicadaloom-Caller"
-	// HeaderIdempotencyKey marks repetitions of one request: of those with the same key at most
-	// one is run.
+	// HeaderIdempotencyKey marks repetitions of one request: of those with the same key
+	// at most one is run.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderRequest is the id of the request; one is generated if it is absent.
 	HeaderRequest = "X-Request-Id"
--- a/internal/peer/engine/stream.go
+++ b/internal/peer/engine/stream.go
@@ -33,8 +33,8 @@
 // Failures of an answer that has started. After each of them the request may have
 // run.
 var (
-	// ErrTruncatedStream says that the answer ended without its end marker. The part that
-	// arrived is valid, so the stream can be resumed.
+	// ErrTruncatedStream says that the answer ended without its end marker. The part
+	// that arrived is valid, so the stream can be resumed.
 	ErrTruncatedStream = errors.New("answer cut before its end")
 	// ErrBrokenStream says that the answer does not follow the protocol.
 	ErrBrokenStream = errors.New("answer malformed")
@@ -51,8 +51,8 @@
 	// Tokens counts the tokens of the answer up to and including this chunk, and those
 	// before ResumeAt. Engines send one token per chunk.
 	Tokens int
-	// IsFirstToken marks the first token of this stream, Last the chunk with the reason why
-	// the answer ends.
+	// IsFirstToken marks the first token of this stream, IsLast the chunk with the
+	// reason why the answer ends.
 	IsFirstToken bool
 	IsLast       bool
 }
@@ -110,8 +110,8 @@
 }
 
 // Next waits for the next event. After End it returns io.EOF. An error wraps
-// ErrCutStream, ErrBrokenStream or the cause of the cancelled context; every later call
-// returns the same error.
+// ErrTruncatedStream, ErrBrokenStream or the cause of the cancelled context; every
+// later call returns the same error.
 func (s *Stream) Next() (Event, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/entryhost/decisions.go
+++ b/internal/peer/entryhost/decisions.go
@@ -10,8 +10,8 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// FetchDecisions fetches what a peer itself decided. The peer does not check who asks: the
-// caller must have checked it and limited the query to what that person may see.
+// FetchDecisions fetches what a peer itself decided. The peer does not check who asks:
+// the caller must have checked it and limited the query to what that person may see.
 func (p *Pool) FetchDecisions(ctx context.Context, address string, query decisions.Query) ([]decisions.Decision, error) {
 	peer, err := p.Peer(address)
 	if err != nil {
--- a/internal/peer/entryhost/entryhost.go
+++ b/internal/peer/entryhost/entryhost.go
@@ -47,14 +47,15 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// Message is the message that each of two hosts sends the other in an exchange.
+// Message is what each of two hosts sends the other in an exchange.
 type Message struct {
 	// Peers has the sender first.
 	Peers      []membership.Peer
 	Heartbeats []membership.Heartbeat
-	// SentThrough is the sender's position after this message and From the position before it:
-	// the message carries the changes between the two. Have is the position up to which
-	// the sender has received the receiver's messages.
+	// SentThrough is the sender's position after this message and SentAfter the
+	// position before it: the message carries the changes between the two.
+	// ReceivedThrough is the position up to which the sender has received the
+	// receiver's messages.
 	SentThrough     Cursors
 	SentAfter       Cursors
 	ReceivedThrough Cursors
@@ -80,8 +81,8 @@
 	return k.Peers[0]
 }
 
-// Cursors are positions in the sequences of changes that one host sends. Epoch identifies
-// the host's incarnation; positions of different epochs do not compare.
+// Cursors are positions in the sequences of changes that one host sends. Epoch
+// identifies the host's incarnation; positions of different epochs do not compare.
 type Cursors struct {
 	Epoch   uint64
 	Peers   uint64
--- a/internal/peer/grpcpeer/fleet.go
+++ b/internal/peer/grpcpeer/fleet.go
@@ -15,8 +15,8 @@
 // fleetHeader carries the sender's fleet in each call.
 const fleetHeader = "cicadaloom-fleet"
 
-// FleetFunc returns the fleet that a host belongs to, or 0 while it does not know. A nil
-// FleetFunc is a host without fleets.
+// FleetFunc returns the fleet that a host belongs to, or 0 while it does not know. A
+// nil FleetFunc stands for a host without fleets.
 //
 // The address of a removed host may be reused in another fleet, whose hosts may have
 // the same names. Without the check a host would accept the documents of the other
--- a/internal/peer/grpcpeer/grpcpeer.go
+++ b/internal/peer/grpcpeer/grpcpeer.go
@@ -1,6 +1,6 @@
 // Package grpcpeer has the common base of the gRPC services between hosts: a Pool with
 // one connection to each peer, and a Server. The packages entryhost and gatewaypeer
-// build on it. Both check that the peers belong to the same Fleet.
+// build on it. Both check that the peers belong to the same fleet.
 //
 // A Server serves in a goroutine of its own, which Stop ends. A Pool is protected by a
 // mutex, which is never held during a call.
@@ -128,8 +128,8 @@
 	return connection, nil
 }
 
-// Connect establishes the connection to a peer before the first call: between regions that
-// takes longer than the timeout of a call.
+// Connect establishes the connection to a peer before the first call: between regions
+// that takes longer than the timeout of a call.
 func (p *Pool) Connect(address string) error {
 	connection, err := p.Connection(address)
 	if err != nil {
@@ -157,8 +157,8 @@
 	}
 }
 
-// CloseOthers closes the connections to all peers but those at the given addresses, so that
-// replaced hosts leave no connections behind.
+// CloseOthers closes the connections to all peers but those at the given addresses, so
+// that replaced hosts leave no connections behind.
 func (p *Pool) CloseOthers(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/plain/plain.go
+++ b/internal/peer/plain/plain.go
@@ -56,8 +56,8 @@
 	http httpsend.Client
 }
 
-// UseMeter makes the client count the bytes of its connections. It must be called before
-// the first request.
+// UseMeter makes the client count the bytes of its connections. It must be called
+// before the first request.
 func (c *Client) UseMeter(connMeter *meter.Meter) {
 	c.http.Meter = connMeter
 }
--- a/internal/wire/engineapi/platform.go
+++ b/internal/wire/engineapi/platform.go
@@ -123,7 +123,7 @@
 	Memory  int64
 }
 
-// EncodeWeightLoad encodes the body for PathLoads.
+// EncodeWeightLoad encodes the body for PathWeightLoads.
 func EncodeWeightLoad(load WeightLoad) ([]byte, error) {
 	return encode(wireWeightLoad{
 		Model:   string(load.Model),
@@ -133,7 +133,7 @@
 	}, "weight load")
 }
 
-// DecodeWeightLoad decodes the body for PathLoads.
+// DecodeWeightLoad decodes the body for PathWeightLoads.
 func DecodeWeightLoad(body []byte) (WeightLoad, error) {
 	wire, err := decode[wireWeightLoad](body, "weight load")
 	if err != nil {
@@ -163,7 +163,7 @@
 	LoadsDone int64
 }
 
-// EncodeWeightStatus encodes the answer to PathLoadStatus.
+// EncodeWeightStatus encodes the answer to PathWeightStatus.
 func EncodeWeightStatus(status WeightStatus) ([]byte, error) {
 	return encode(wireWeightStatus(status), "weight store status")
 }
