--- a/internal/peer/entryhost/codec.go
+++ b/internal/peer/entryhost/codec.go
@@ -29,40 +29,40 @@
 	return time.Unix(0, nanos)
 }
 
-func encodeMessage(k Message) *entryhostpb.Knowledge {
+func encodeMessage(message Message) *entryhostpb.Knowledge {
 	wire := &entryhostpb.Knowledge{
-		Since:    int64(k.Documents.Since),
-		Complete: int64(k.Documents.CompleteRevision),
-		Told:     encodeCursors(k.SentThrough),
-		From:     encodeCursors(k.SentAfter),
-		Have:     encodeCursors(k.ReceivedThrough),
+		Since:    int64(message.Documents.Since),
+		Complete: int64(message.Documents.CompleteRevision),
+		Told:     encodeCursors(message.SentThrough),
+		From:     encodeCursors(message.SentAfter),
+		Have:     encodeCursors(message.ReceivedThrough),
 
-		WantsReports: k.WantsReports,
-		AllReports:   k.WantsAllRegions,
-		More:         k.HasMore,
+		WantsReports: message.WantsReports,
+		AllReports:   message.WantsAllRegions,
+		More:         message.HasMore,
 	}
-	encodeHeartbeats(wire, &k)
-	encodeReports(wire, &k.Reports)
-	for i := range k.Peers {
-		wire.Peers = append(wire.Peers, encodePeer(&k.Peers[i]))
+	encodeHeartbeats(wire, &message)
+	encodeReports(wire, &message.Reports)
+	for i := range message.Peers {
+		wire.Peers = append(wire.Peers, encodePeer(&message.Peers[i]))
 	}
-	for _, document := range k.Documents.Documents {
+	for _, document := range message.Documents.Documents {
 		wire.Documents = append(wire.Documents, &entryhostpb.Document{
 			Team:     string(document.Team),
 			Revision: int64(document.Revision),
 			Value:    document.Value,
 		})
 	}
-	for server, load := range k.ServerLoads {
+	for server, load := range message.ServerLoads {
 		wire.Loads = append(wire.Loads, &entryhostpb.Load{
 			Server:  string(server),
 			Running: int32(load),
 		})
 	}
-	for i := range k.Suspects {
-		wire.Suspects = append(wire.Suspects, encodeSuspect(&k.Suspects[i]))
+	for i := range message.Suspects {
+		wire.Suspects = append(wire.Suspects, encodeSuspect(&message.Suspects[i]))
 	}
-	for _, leaving := range k.LeavingServers {
+	for _, leaving := range message.LeavingServers {
 		wire.Leaving = append(wire.Leaving, &entryhostpb.Leaving{
 			Server:      string(leaving.Server),
 			Incarnation: string(leaving.Incarnation),
@@ -72,7 +72,7 @@
 }
 
 func decodeMessage(wire *entryhostpb.Knowledge) Message {
-	k := Message{
+	message := Message{
 		Documents: documents.Message{
 			Since:            ident.Revision(wire.GetSince()),
 			CompleteRevision: ident.Revision(wire.GetComplete()),
@@ -88,29 +88,29 @@
 		Reports:         decodeReports(wire),
 	}
 	for _, peer := range wire.GetPeers() {
-		k.Peers = append(k.Peers, decodePeer(peer))
+		message.Peers = append(message.Peers, decodePeer(peer))
 	}
-	k.Heartbeats = decodeHeartbeats(wire, k.Sender())
+	message.Heartbeats = decodeHeartbeats(wire, message.Sender())
 	for _, document := range wire.GetDocuments() {
-		k.Documents.Documents = append(k.Documents.Documents, documents.PeerDocument{
+		message.Documents.Documents = append(message.Documents.Documents, documents.PeerDocument{
 			Team:     ident.TeamName(document.GetTeam()),
 			Revision: ident.Revision(document.GetRevision()),
 			Value:    document.GetValue(),
 		})
 	}
 	for _, load := range wire.GetLoads() {
-		k.ServerLoads[ident.ServerName(load.GetServer())] = int64(load.GetRunning())
+		message.ServerLoads[ident.ServerName(load.GetServer())] = int64(load.GetRunning())
 	}
 	for _, suspect := range wire.GetSuspects() {
-		k.Suspects = append(k.Suspects, decodeSuspect(suspect))
+		message.Suspects = append(message.Suspects, decodeSuspect(suspect))
 	}
 	for _, leaving := range wire.GetLeaving() {
-		k.LeavingServers = append(k.LeavingServers, routing.ServerLeaving{
+		message.LeavingServers = append(message.LeavingServers, routing.ServerLeaving{
 			Server:      ident.ServerName(leaving.GetServer()),
 			Incarnation: ident.Incarnation(leaving.GetIncarnation()),
 		})
 	}
-	return k
+	return message
 }
 
 func encodeCursors(cursors Cursors) *entryhostpb.Marks {
@@ -131,9 +131,9 @@
 
 // encodeHeartbeats encodes heartbeats as distances from the sender's own: most are a
 // few seconds behind, and take two or three bytes as varints.
-func encodeHeartbeats(wire *entryhostpb.Knowledge, k *Message) {
-	sender := k.Sender()
-	for _, heartbeat := range k.Heartbeats {
+func encodeHeartbeats(wire *entryhostpb.Knowledge, message *Message) {
+	sender := message.Sender()
+	for _, heartbeat := range message.Heartbeats {
 		wire.BeatHosts = append(wire.BeatHosts, heartbeat.Host)
 		wire.BeatBehind = append(wire.BeatBehind, int64(sender.Heartbeat-heartbeat.Heartbeat))
 		wire.BeatDocumentsBehind = append(wire.BeatDocumentsBehind, int64(sender.DocumentsRevision-heartbeat.DocumentsRevision))
--- a/internal/peer/entryhost/entryhost.go
+++ b/internal/peer/entryhost/entryhost.go
@@ -74,11 +74,11 @@
 }
 
 // Sender returns the host that sent the message, the zero Peer for an empty message.
-func (k *Message) Sender() membership.Peer {
-	if len(k.Peers) == 0 {
+func (m *Message) Sender() membership.Peer {
+	if len(m.Peers) == 0 {
 		return membership.Peer{}
 	}
-	return k.Peers[0]
+	return m.Peers[0]
 }
 
 // Cursors are positions in the sequences of changes that one host sends. Epoch
@@ -99,7 +99,7 @@
 type Handler interface {
 	Exchange(ctx context.Context, theirs Message) (Message, error)
 	BurnCounts(ctx context.Context) (BurnCounts, error)
-	Demand(ctx context.Context, told demand.HostRates) error
+	Demand(ctx context.Context, rates demand.HostRates) error
 	// Decisions returns what this host itself decided.
 	Decisions(ctx context.Context, query decisions.Query) ([]decisions.Decision, error)
 	// The next three serve an attempt of another host, which the Origin field names;
--- a/internal/wire/engineapi/chat.go
+++ b/internal/wire/engineapi/chat.go
@@ -44,7 +44,7 @@
 // model, so that equal hashes mean equal prefixes. Engines identify prefixes by these
 // hashes in their cache events.
 func (c *Chat) PrefixHashes() []uint64 {
-	prefixes := make([]uint64, 0, len(c.Messages))
+	hashes := make([]uint64, 0, len(c.Messages))
 	hash := xxhash.Sum64String(c.Model)
 	for i := range c.Messages {
 		digest := xxhash.New()
@@ -52,9 +52,9 @@
 		writeField(digest, c.Messages[i].Role)
 		writeField(digest, c.Messages[i].Text)
 		hash = digest.Sum64()
-		prefixes = append(prefixes, hash)
+		hashes = append(hashes, hash)
 	}
-	return prefixes
+	return hashes
 }
 
 // writeField writes the length before the text, so that different fields with the same
