--- a/internal/command/cicadaloom/demo.go
+++ b/internal/command/cicadaloom/demo.go
@@ -114,10 +114,10 @@
 			return err
 		}
 		s.hosts = append(s.hosts, started)
-		if err := s.platform.AddEntryHost(name, started.Peers); err != nil {
+		if err := s.platform.AddEntryHost(name, started.PeersAddress); err != nil {
 			return err
 		}
-		fmt.Fprintf(s.to.Out, "entry host %s: callers at %s, operators at %s\n", name, started.Callers, started.Operators)
+		fmt.Fprintf(s.to.Out, "entry host %s: callers at %s, operators at %s\n", name, started.CallersAddress, started.OperatorsAddress)
 	}
 	return nil
 }
--- a/internal/command/cicadaloom/demo_steps.go
+++ b/internal/command/cicadaloom/demo_steps.go
@@ -83,11 +83,11 @@
 }
 
 func (s *show) operators(host int, path string) string {
-	return "http://" + s.hosts[host].Operators + path
+	return "http://" + s.hosts[host].OperatorsAddress + path
 }
 
 func (s *show) callers(host int, path string) string {
-	return "http://" + s.hosts[host].Callers + path
+	return "http://" + s.hosts[host].CallersAddress + path
 }
 
 // until repeats a look until it is satisfied.
--- a/internal/command/cicadaloom/serve.go
+++ b/internal/command/cicadaloom/serve.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(to.Out, "ready callers=%s operators=%s peers=%s\n", running.Callers, running.Operators, running.Peers)
+	fmt.Fprintf(to.Out, "ready callers=%s operators=%s peers=%s\n", running.CallersAddress, running.OperatorsAddress, running.PeersAddress)
 	first := <-signals
 	log.Info("stopping", zap.String("Signal", first.String()))
 	ctx, cancel := context.WithTimeout(context.Background(), loaded.Callers.DrainTimeout)
--- a/internal/control/loop/servers.go
+++ b/internal/control/loop/servers.go
@@ -220,8 +220,8 @@
 	suspects.LostAttempt
 }
 
-// Died implements dispatch.Reporter.
-func (l *Loop) Died(loss suspects.LostAttempt) {
+// ReportLostAttempt implements dispatch.Reporter.
+func (l *Loop) ReportLostAttempt(loss suspects.LostAttempt) {
 	l.trySend(lostAttempt{
 		LostAttempt: loss,
 	})
--- a/internal/control/loop/traffic.go
+++ b/internal/control/loop/traffic.go
@@ -13,8 +13,8 @@
 	sample burn.Sample
 }
 
-// Finished implements dispatch.Reporter.
-func (l *Loop) Finished(sample burn.Sample) {
+// ReportResult implements dispatch.Reporter.
+func (l *Loop) ReportResult(sample burn.Sample) {
 	l.trySend(requestFinished{
 		sample: sample,
 	})
@@ -30,8 +30,8 @@
 	fingerprint ident.Fingerprint
 }
 
-// Cleared implements dispatch.Reporter.
-func (l *Loop) Cleared(fingerprint ident.Fingerprint) {
+// ReportCleared implements dispatch.Reporter.
+func (l *Loop) ReportCleared(fingerprint ident.Fingerprint) {
 	l.trySend(suspectCleared{
 		fingerprint: fingerprint,
 	})
--- a/internal/control/orders/change_test.go
+++ b/internal/control/orders/change_test.go
@@ -44,7 +44,7 @@
 	sim.runPasses(60)
 	state := sim.leader().machine.State(sim.now)
 	require.Len(t, state.Blocked, 1)
-	require.Equal(t, placement.BlockedLastReplica, state.Blocked[0].Why)
+	require.Equal(t, placement.BlockedLastReplica, state.Blocked[0].Blocker)
 }
 
 // A change is accepted and carried out. Then a host that has not received it becomes
--- a/internal/control/orders/demand.go
+++ b/internal/control/orders/demand.go
@@ -51,10 +51,10 @@
 	rates := make([]placement.Rate, 0, len(sums))
 	for key, sum := range sums {
 		rates = append(rates, placement.Rate{
-			Model:            key.model,
-			Region:           key.region,
-			PerSecond:        sum.PerSecond,
-			ReplicaPerSecond: sum.ReplicaPerSecond,
+			Model:                    key.model,
+			Region:                   key.region,
+			RequestsPerSecond:        sum.PerSecond,
+			ReplicaRequestsPerSecond: sum.ReplicaPerSecond,
 		})
 	}
 	slices.SortFunc(rates, compareRates)
--- a/internal/control/orders/plan_test.go
+++ b/internal/control/orders/plan_test.go
@@ -74,7 +74,7 @@
 	state := sim.leader().machine.State(sim.now)
 	require.Len(t, state.Doubts, 1)
 	require.EqualValues(t, "drift", state.Doubts[0].Order.Model)
-	require.Equal(t, placement.BlockedNoRoom, state.Blocked[0].Why)
+	require.Equal(t, placement.BlockedNoRoom, state.Blocked[0].Blocker)
 	sim.isHeldBack = nil
 	sim.runPasses(40)
 	require.Len(t, sim.enginesWithReady("wide", "1"), 1)
--- a/internal/control/orders/view.go
+++ b/internal/control/orders/view.go
@@ -153,10 +153,10 @@
 		resident := &s.report.Residents[i]
 		weights := weightsOf(resident)
 		residents = append(residents, placement.Resident{
-			Weights: weights,
-			Memory:  resident.Memory,
-			Ready:   resident.Ready && fresh,
-			Since:   s.firstReportedAt[weights],
+			Weights:     weights,
+			Memory:      resident.Memory,
+			Ready:       resident.Ready && fresh,
+			FirstSeenAt: s.firstReportedAt[weights],
 		})
 	}
 	return residents
@@ -184,8 +184,8 @@
 	if index < 0 {
 		index = len(residents)
 		residents = append(residents, placement.Resident{
-			Weights: weights,
-			Since:   now,
+			Weights:     weights,
+			FirstSeenAt: now,
 		})
 		if o.isLoad() {
 			residents[index].Memory = o.Memory
--- a/internal/control/placement/adapters.go
+++ b/internal/control/placement/adapters.go
@@ -32,7 +32,7 @@
 		}
 		if other != nil && wanted.Ready && !wanted.Unloading {
 			p.planUnload(r.server, other, Move{
-				Reason: ReasonVersion,
+				Reason: ReasonVersionChange,
 			})
 		}
 	}
@@ -86,10 +86,10 @@
 		Reason:  ReasonAdapter,
 	})
 	target.Residents = append(target.Residents, Resident{
-		Weights: weights,
-		Memory:  adapter.Memory,
-		Loading: true,
-		Since:   p.input.Now,
+		Weights:     weights,
+		Memory:      adapter.Memory,
+		Loading:     true,
+		FirstSeenAt: p.input.Now,
 	})
 }
 
@@ -98,13 +98,13 @@
 func (p *planner) replaceAdapter(model *modelState, r replica, weights Weights, adapter *document.Adapter, other *Resident) {
 	if other != nil && p.isAdapterReadyElsewhere(model, r, other) {
 		p.planUnload(r.server, other, Move{
-			Reason: ReasonVersion,
+			Reason: ReasonVersionChange,
 		})
 		return
 	}
 	p.result.Blocked = append(p.result.Blocked, Blocked{
-		Weights: weights,
-		Why:     BlockedNoRoom,
-		Needs:   adapter.Memory,
+		Weights:        weights,
+		Blocker:        BlockedNoRoom,
+		RequiredMemory: adapter.Memory,
 	})
 }
--- a/internal/control/placement/bench_test.go
+++ b/internal/control/placement/bench_test.go
@@ -42,9 +42,9 @@
 		f.models = append(f.models, declared)
 		for _, region := range []ident.Region{"a", "b"} {
 			f.rates = append(f.rates, Rate{
-				Model:     declared.Name,
-				Region:    region,
-				PerSecond: float64(i % 10),
+				Model:             declared.Name,
+				Region:            region,
+				RequestsPerSecond: float64(i % 10),
 			})
 		}
 	}
@@ -106,7 +106,7 @@
 			}
 			for i := range f.rates {
 				if i%20 < 2 {
-					f.rates[i].PerSecond = 100
+					f.rates[i].RequestsPerSecond = 100
 				}
 			}
 			benchPlan(b, f, Budget{
--- a/internal/control/placement/burst_test.go
+++ b/internal/control/placement/burst_test.go
@@ -41,18 +41,18 @@
 				rate *= 1 + 9*burstLevel(round%240)
 			}
 			f.rates = append(f.rates, Rate{
-				Model:     ident.ModelName(fmt.Sprintf("m-%04d", i)),
-				Region:    "a",
-				PerSecond: rate / 2,
+				Model:             ident.ModelName(fmt.Sprintf("m-%04d", i)),
+				Region:            "a",
+				RequestsPerSecond: rate / 2,
 			}, Rate{
-				Model:     ident.ModelName(fmt.Sprintf("m-%04d", i)),
-				Region:    "b",
-				PerSecond: rate / 2,
+				Model:             ident.ModelName(fmt.Sprintf("m-%04d", i)),
+				Region:            "b",
+				RequestsPerSecond: rate / 2,
 			})
 		}
 		missedNow := f.lateRate(settings)
 		for _, rate := range f.rates {
-			requested += rate.PerSecond
+			requested += rate.RequestsPerSecond
 		}
 		missed += missedNow
 		f.planAndApply(settings, Budget{
--- a/internal/control/placement/demand.go
+++ b/internal/control/placement/demand.go
@@ -109,16 +109,16 @@
 }
 
 func (p *planner) replicaRate(rate *Rate) float64 {
-	if rate.ReplicaPerSecond > 0 {
-		return rate.ReplicaPerSecond
+	if rate.ReplicaRequestsPerSecond > 0 {
+		return rate.ReplicaRequestsPerSecond
 	}
-	return p.settings.ReplicaPerSecond
+	return p.settings.ReplicaRequestsPerSecond
 }
 
 // lateRate returns the rate of requests that the given number of replicas in
 // the region can't serve in time.
 func (p *planner) lateRate(rate *Rate, replicas int) float64 {
-	return max(0, rate.PerSecond-maxTimelyUtilization*p.replicaRate(rate)*float64(replicas))
+	return max(0, rate.RequestsPerSecond-maxTimelyUtilization*p.replicaRate(rate)*float64(replicas))
 }
 
 // planScaleUp plans the load for a scale-up, or the unload that makes room for
@@ -260,7 +260,7 @@
 // alternating demand would evict each other at every change.
 func (p *planner) grewRecently(model *modelState) bool {
 	for _, r := range model.replicas {
-		if p.input.Now.Sub(p.resident(r).Since) < p.settings.MinStay {
+		if p.input.Now.Sub(p.resident(r).FirstSeenAt) < p.settings.EvictionProtection {
 			return true
 		}
 	}
--- a/internal/control/placement/placement.go
+++ b/internal/control/placement/placement.go
@@ -66,8 +66,8 @@
 	// Unloading reports whether an unload is pending. The weights may disappear
 	// at any moment, so nothing may rely on them.
 	Unloading bool
-	// Since is when the leader first saw the weights on this server.
-	Since time.Time
+	// FirstSeenAt is when the leader first saw the weights on this server.
+	FirstSeenAt time.Time
 }
 
 // Server is a backend server and what is loaded on it.
@@ -88,11 +88,11 @@
 type Rate struct {
 	Model  ident.ModelName
 	Region ident.Region
-	// PerSecond is the demand in requests a second.
-	PerSecond float64
-	// ReplicaPerSecond is the number of requests a second that one replica
+	// RequestsPerSecond is the demand in requests a second.
+	RequestsPerSecond float64
+	// ReplicaRequestsPerSecond is the number of requests a second that one replica
 	// serves within the promised time; zero means Settings.ReplicaPerSecond.
-	ReplicaPerSecond float64
+	ReplicaRequestsPerSecond float64
 }
 
 // Settings control how moves are weighed against attainment, the share of
@@ -103,32 +103,32 @@
 	// for demand must gain: at 0 only attainment counts, at 1 no move for
 	// demand is made.
 	MovesWeight float64
-	// ReplicaPerSecond is the request rate that one replica serves in time,
+	// ReplicaRequestsPerSecond is the request rate that one replica serves in time,
 	// used where none has been measured.
-	ReplicaPerSecond float64
+	ReplicaRequestsPerSecond float64
 	// Horizon is how long a change of demand is expected to last.
 	Horizon time.Duration
 	// LoadTime is how long a load takes; a new replica serves nothing until
 	// then.
 	LoadTime time.Duration
-	// MinStay is how long all replicas of a model are protected from eviction
+	// EvictionProtection is how long all replicas of a model are protected from eviction
 	// after the model gained one.
-	MinStay time.Duration
+	EvictionProtection time.Duration
 }
 
 // The defaults of Settings.
 const (
-	DefaultReplicaPerSecond = 8
-	DefaultHorizon          = 5 * time.Minute
-	DefaultLoadTime         = 10 * time.Second
-	DefaultMinStay          = 2 * time.Minute
+	DefaultReplicaRequestsPerSecond = 8
+	DefaultHorizon                  = 5 * time.Minute
+	DefaultLoadTime                 = 10 * time.Second
+	DefaultEvictionProtection       = 2 * time.Minute
 )
 
 func (s Settings) withDefaults() Settings {
-	s.ReplicaPerSecond = cmp.Or(s.ReplicaPerSecond, DefaultReplicaPerSecond)
+	s.ReplicaRequestsPerSecond = cmp.Or(s.ReplicaRequestsPerSecond, DefaultReplicaRequestsPerSecond)
 	s.Horizon = cmp.Or(s.Horizon, DefaultHorizon)
 	s.LoadTime = cmp.Or(s.LoadTime, DefaultLoadTime)
-	s.MinStay = cmp.Or(s.MinStay, DefaultMinStay)
+	s.EvictionProtection = cmp.Or(s.EvictionProtection, DefaultEvictionProtection)
 	return s
 }
 
@@ -155,13 +155,13 @@
 
 // The reasons of moves.
 const (
-	ReasonMissing    Reason = "MissingReplica"
-	ReasonVersion    Reason = "VersionChange"
-	ReasonRoom       Reason = "MakeRoom"
-	ReasonUndeclared Reason = "Undeclared"
-	ReasonAboveMax   Reason = "AboveMaxReplicas"
-	ReasonAdapter    Reason = "AdapterFollowsModel"
-	ReasonDemand     Reason = "Demand"
+	ReasonMissing       Reason = "MissingReplica"
+	ReasonVersionChange Reason = "VersionChange"
+	ReasonMakeRoom      Reason = "MakeRoom"
+	ReasonUndeclared    Reason = "Undeclared"
+	ReasonAboveMax      Reason = "AboveMaxReplicas"
+	ReasonAdapter       Reason = "AdapterFollowsModel"
+	ReasonDemand        Reason = "Demand"
 )
 
 // Move is one load or unload.
@@ -201,11 +201,11 @@
 
 // Blocked is a declared model or adapter that can't be loaded now.
 type Blocked struct {
-	Weights Weights
-	Why     Blocker
-	Have    int
-	Want    int
-	Needs   unit.Bytes
+	Weights         Weights
+	Blocker         Blocker
+	PresentReplicas int
+	WantedReplicas  int
+	RequiredMemory  unit.Bytes
 }
 
 // Result is the outcome of Plan.
--- a/internal/control/placement/placement_test.go
+++ b/internal/control/placement/placement_test.go
@@ -78,10 +78,10 @@
 		}
 		if move.Kind == backend.LoadModel || move.Kind == backend.LoadAdapter {
 			server.Residents = append(server.Residents, Resident{
-				Weights: move.Weights,
-				Memory:  move.Memory,
-				Ready:   true,
-				Since:   f.now,
+				Weights:     move.Weights,
+				Memory:      move.Memory,
+				Ready:       true,
+				FirstSeenAt: f.now,
 			})
 			server.Reserved += move.Memory
 			return
@@ -175,7 +175,7 @@
 	f.planUntilStable(t, Settings{})
 	require.Len(t, f.serversWith("briefing", "1"), 1)
 	require.Len(t, f.blocked, 1)
-	require.Equal(t, BlockedLastReplica, f.blocked[0].Why)
+	require.Equal(t, BlockedLastReplica, f.blocked[0].Blocker)
 }
 
 // The new version of a single replica fits nowhere, but another model has more
@@ -193,9 +193,9 @@
 				Model:   "extra",
 				Version: "1",
 			},
-			Memory: 40,
-			Ready:  true,
-			Since:  epoch,
+			Memory:      40,
+			Ready:       true,
+			FirstSeenAt: epoch,
 		}},
 		Reserved: 40,
 	})
@@ -205,7 +205,7 @@
 	require.Len(t, f.serversWith("briefing", "2"), 1)
 	require.Empty(t, f.serversWith("briefing", "1"))
 	require.Len(t, f.serversWith("extra", "1"), 1)
-	require.Equal(t, 1, f.moves[ReasonRoom])
+	require.Equal(t, 1, f.moves[ReasonMakeRoom])
 }
 
 // Two small models occupy one server each, so that a large model fits on
@@ -228,9 +228,9 @@
 	f := newFleet(14, 50, newModel("briefing", "1", 40, 2, 6))
 	f.planUntilStable(t, Settings{})
 	f.rates = []Rate{{
-		Model:     "briefing",
-		Region:    "a",
-		PerSecond: 100,
+		Model:             "briefing",
+		Region:            "a",
+		RequestsPerSecond: 100,
 	}}
 	f.planUntilStable(t, Settings{})
 	require.Len(t, f.serversWith("briefing", "1"), 6)
@@ -265,14 +265,14 @@
 			rates := [2]float64{test.high, test.low}
 			f.rates = []Rate{
 				{
-					Model:     "a",
-					Region:    "a",
-					PerSecond: rates[i%2],
+					Model:             "a",
+					Region:            "a",
+					RequestsPerSecond: rates[i%2],
 				},
 				{
-					Model:     "b",
-					Region:    "a",
-					PerSecond: rates[1-i%2],
+					Model:             "b",
+					Region:            "a",
+					RequestsPerSecond: rates[1-i%2],
 				},
 			}
 			f.planAndApply(Settings{}, unlimited)
--- a/internal/control/placement/planner.go
+++ b/internal/control/placement/planner.go
@@ -188,10 +188,10 @@
 	move.Memory = model.spec.Memory
 	p.result.Moves = append(p.result.Moves, move)
 	target.Residents = append(target.Residents, Resident{
-		Weights: move.Weights,
-		Memory:  move.Memory,
-		Loading: true,
-		Since:   p.input.Now,
+		Weights:     move.Weights,
+		Memory:      move.Memory,
+		Loading:     true,
+		FirstSeenAt: p.input.Now,
 	})
 	model.replicas = append(model.replicas, replica{
 		server:   server,
--- a/internal/control/placement/required.go
+++ b/internal/control/placement/required.go
@@ -49,7 +49,7 @@
 		Want:   model.minReplicas(),
 	}
 	if p.hasOtherVersion(model) {
-		move.Reason = ReasonVersion
+		move.Reason = ReasonVersionChange
 	}
 	if server, found := p.findServer(model, ""); found {
 		if p.budget.Models <= 0 {
@@ -149,9 +149,9 @@
 			Model:   model.spec.Name,
 			Version: model.spec.Version,
 		},
-		Why:   blocker,
-		Have:  current,
-		Want:  model.minReplicas(),
-		Needs: model.footprint,
+		Blocker:         blocker,
+		PresentReplicas: current,
+		WantedReplicas:  model.minReplicas(),
+		RequiredMemory:  model.footprint,
 	})
 }
--- a/internal/control/placement/retire.go
+++ b/internal/control/placement/retire.go
@@ -52,7 +52,7 @@
 		}
 		if p.canDrop(model, r) {
 			p.planReplicaUnload(r, Move{
-				Reason: ReasonVersion,
+				Reason: ReasonVersionChange,
 				Have:   readyReplicas,
 				Want:   model.minReplicas(),
 			})
--- a/internal/control/placement/room.go
+++ b/internal/control/placement/room.go
@@ -10,7 +10,7 @@
 	if p.waitForUnload(model) || p.replaceOldVersion(model, move) {
 		return
 	}
-	move.Reason = ReasonRoom
+	move.Reason = ReasonMakeRoom
 	move.For = model.spec.Name
 	if p.evictSpares(model, move) || p.relocate(model, move) {
 		return
@@ -67,7 +67,7 @@
 		if server.freeAfterUnloads+p.releasedMemory(r) < model.footprint || !p.canDrop(model, r) {
 			continue
 		}
-		move.Reason = ReasonVersion
+		move.Reason = ReasonVersionChange
 		p.planReplicaUnload(r, move)
 		server.freeAfterUnloads -= model.footprint
 		return true
--- a/internal/load/fleet/fleet.go
+++ b/internal/load/fleet/fleet.go
@@ -209,7 +209,7 @@
 	f.list(backend.Server{
 		Name:    ident.ServerName(name),
 		Kind:    backend.KindEntry,
-		Address: running.Peers,
+		Address: running.PeersAddress,
 	}, number)
 	return nil
 }
@@ -255,7 +255,7 @@
 func (f *Fleet) Targets() []string {
 	targets := make([]string, 0, len(f.Hosts))
 	for _, one := range f.Hosts {
-		targets = append(targets, one.Callers)
+		targets = append(targets, one.CallersAddress)
 	}
 	return targets
 }
--- a/internal/load/fleet/ready.go
+++ b/internal/load/fleet/ready.go
@@ -52,7 +52,7 @@
 		return err
 	}
 	return poll(ctx, func() error {
-		url := "http://" + f.Hosts[0].Operators + "/admin/documents/" + string(f.options.Size.Name)
+		url := "http://" + f.Hosts[0].OperatorsAddress + "/admin/documents/" + string(f.options.Size.Name)
 		request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(text))
 		if err != nil {
 			return errors.Wrap(err, "document")
@@ -97,7 +97,7 @@
 		return err
 	}
 	for _, name := range f.names() {
-		if err := poll(ctx, func() error { return f.probe(ctx, one.Callers, name) }); err != nil {
+		if err := poll(ctx, func() error { return f.probe(ctx, one.CallersAddress, name) }); err != nil {
 			return err
 		}
 	}
@@ -106,7 +106,7 @@
 
 // inForce tells whether a host knows that all hosts have the document.
 func (f *Fleet) inForce(ctx context.Context, one *host.Host) error {
-	status, err := counters.ReadStatus(ctx, "http://"+one.Operators, adminToken)
+	status, err := counters.ReadStatus(ctx, "http://"+one.OperatorsAddress, adminToken)
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 	}
 	for number, one := range f.Hosts {
 		if !f.killed[number] {
-			reader.Statuses = append(reader.Statuses, "http://"+one.Operators)
+			reader.Statuses = append(reader.Statuses, "http://"+one.OperatorsAddress)
 		}
 	}
 	return reader.Read(ctx)
--- a/internal/peer/caller/caller.go
+++ b/internal/peer/caller/caller.go
@@ -57,14 +57,14 @@
 
 // Dispatcher serves parsed requests.
 type Dispatcher interface {
-	Chat(ctx context.Context, chat dispatch.Chat, sink dispatch.Sink) *dispatch.Failure
-	Plain(ctx context.Context, plain dispatch.Plain, sink dispatch.Sink) *dispatch.Failure
+	ServeChat(ctx context.Context, chat dispatch.ChatRequest, sink dispatch.Sink) *dispatch.Failure
+	ServePlain(ctx context.Context, plain dispatch.PlainRequest, sink dispatch.Sink) *dispatch.Failure
 }
 
 // Server answers callers. All fields but TLS, Decisions and Now must be set.
 type Server struct {
 	Dispatcher   Dispatcher
-	ControlPlane dispatch.Knowledge
+	ControlPlane dispatch.ControlPlane
 	Settings     settings.Callers
 	Log          *zap.Logger
 	// Decisions records refused requests, so that operators can look them up; nil
@@ -162,11 +162,11 @@
 	return func(w http.ResponseWriter, request bunrouter.Request) error {
 		if s.isRefusing.Load() {
 			w.Header().Set("Connection", "close")
-			return s.rejectUnread(w, request.Request, dispatch.Untouched(dispatch.CodeStopping, "this host is stopping; ask another", s.Now()))
+			return s.rejectUnread(w, request.Request, dispatch.NewNotSentFailure(dispatch.CodeStopping, "this host is stopping; ask another", s.Now()))
 		}
 		defer s.inFlight.Add(-1)
 		if s.inFlight.Add(1) > int64(s.Settings.MaxInFlight) {
-			return s.rejectUnread(w, request.Request, dispatch.Untouched(dispatch.CodeTooBusy, "too many requests in flight at this host", s.Now().Add(time.Second)))
+			return s.rejectUnread(w, request.Request, dispatch.NewNotSentFailure(dispatch.CodeTooBusy, "too many requests in flight at this host", s.Now().Add(time.Second)))
 		}
 		return next(w, request)
 	}
--- a/internal/peer/caller/errors.go
+++ b/internal/peer/caller/errors.go
@@ -49,7 +49,7 @@
 		header.Set(headerRetryAfter, strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 		header.Set(headerRetryMillis, strconv.FormatInt(wait.Milliseconds(), 10))
 	}
-	if failure.Final || failure.RetryAt.IsZero() {
+	if failure.ForbidsRetry || failure.RetryAt.IsZero() {
 		header.Set(headerShouldRetry, "false")
 	}
 	w.WriteHeader(failure.Status())
@@ -59,7 +59,7 @@
 
 // refuse answers a request of which nothing was sent to a backend server.
 func (s *Server) refuse(w http.ResponseWriter, code dispatch.Code, message string, retryAt time.Time) error {
-	return s.fail(w, dispatch.Untouched(code, message, retryAt))
+	return s.fail(w, dispatch.NewNotSentFailure(code, message, retryAt))
 }
 
 // reject answers a request that was refused before it reached the dispatcher, and
@@ -70,8 +70,8 @@
 		Log:       s.Log,
 		Decisions: s.Decisions,
 	}
-	subject := incoming.About(target)
-	records.Failed(s.Now(), &subject, failure)
+	subject := incoming.Info(target)
+	records.RecordFailure(s.Now(), &subject, failure)
 	return s.fail(w, failure)
 }
 
--- a/internal/peer/caller/headers.go
+++ b/internal/peer/caller/headers.go
@@ -73,7 +73,7 @@
 		},
 		{
 			name:   HeaderIdempotencyKey,
-			target: (*string)(&result.Key),
+			target: (*string)(&result.IdempotencyKey),
 		},
 	} {
 		if err := readIdentifier(request.Header, header.name, header.target); err != nil {
--- a/internal/peer/caller/service.go
+++ b/internal/peer/caller/service.go
@@ -25,7 +25,7 @@
 	}
 	w.Header().Set(HeaderRequest, string(incoming.ID))
 	sink := newSink(s, w, incoming.ID)
-	failure = s.Dispatcher.Plain(request.Context(), dispatch.Plain{
+	failure = s.Dispatcher.ServePlain(request.Context(), dispatch.PlainRequest{
 		Request: incoming,
 		Service: ident.ServiceName(name),
 		Method:  request.Method,
--- a/internal/peer/caller/sink.go
+++ b/internal/peer/caller/sink.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Begin implements dispatch.Sink.
-func (s *sink) Begin() {
+// StartStream implements dispatch.Sink.
+func (s *sink) StartStream() {
 	s.started = true
 	header := s.writer.Header()
 	header.Set("Content-Type", "text/event-stream")
@@ -45,8 +45,8 @@
 	s.writer.WriteHeader(http.StatusOK)
 }
 
-// Chunk implements dispatch.Sink.
-func (s *sink) Chunk(data []byte) error {
+// SendChunk implements dispatch.Sink.
+func (s *sink) SendChunk(data []byte) error {
 	event := make([]byte, 0, len(eventPrefix)+len(data)+len(eventSuffix))
 	event = append(event, eventPrefix...)
 	event = append(event, data...)
@@ -75,8 +75,8 @@
 	return errors.Wrap(s.flusher.Flush(), "write to the caller")
 }
 
-// Whole implements dispatch.Sink.
-func (s *sink) Whole(answer dispatch.Whole) error {
+// SendAnswer implements dispatch.Sink.
+func (s *sink) SendAnswer(answer dispatch.Answer) error {
 	s.wholeWritten = true
 	header := s.writer.Header()
 	for name, values := range answer.Header {
@@ -107,6 +107,6 @@
 	case !s.started:
 		return s.server.fail(s.writer, failure)
 	}
-	_ = s.Chunk(encodeFailure(failure))
+	_ = s.SendChunk(encodeFailure(failure))
 	panic(http.ErrAbortHandler)
 }
--- a/internal/peer/caller/sink_test.go
+++ b/internal/peer/caller/sink_test.go
@@ -21,16 +21,16 @@
 	ended chan struct{}
 }
 
-func (f endlessDispatcher) Chat(_ context.Context, _ dispatch.Chat, sink dispatch.Sink) *dispatch.Failure {
+func (f endlessDispatcher) ServeChat(_ context.Context, _ dispatch.ChatRequest, sink dispatch.Sink) *dispatch.Failure {
 	defer close(f.ended)
-	sink.Begin()
+	sink.StartStream()
 	event := make([]byte, minBytesPerSecond-100)
 	for i := range event {
 		event[i] = 'x'
 	}
-	for sink.Chunk(event) == nil {
+	for sink.SendChunk(event) == nil {
 	}
-	return dispatch.Untouched(dispatch.CodeCancelled, "the caller has gone", time.Time{})
+	return dispatch.NewNotSentFailure(dispatch.CodeCancelled, "the caller has gone", time.Time{})
 }
 
 // A caller asks for a stream, stops reading and keeps its connection. Its request must
@@ -66,6 +66,6 @@
 }
 
 // emptyControlPlane has no documents.
-type emptyControlPlane struct{ dispatch.Knowledge }
+type emptyControlPlane struct{ dispatch.ControlPlane }
 
 func (emptyControlPlane) Table() *routing.Table { return nil }
--- a/internal/peer/operator/status.go
+++ b/internal/peer/operator/status.go
@@ -89,9 +89,9 @@
 	for _, blocked := range plan.Blocked {
 		w.Blocked = append(w.Blocked, wireBlocked{
 			Model:  string(blocked.Weights.Model),
-			Reason: string(blocked.Why),
-			Have:   blocked.Have,
-			Want:   blocked.Want,
+			Reason: string(blocked.Blocker),
+			Have:   blocked.PresentReplicas,
+			Want:   blocked.WantedReplicas,
 		})
 	}
 	for _, recent := range plan.Recent {
--- a/internal/scenario/capacity/control_test.go
+++ b/internal/scenario/capacity/control_test.go
@@ -41,7 +41,7 @@
 	for _, running := range f.hosts {
 		require.Eventually(f.t, func() bool {
 			body := strings.NewReader(`{"model": "briefing-0003", "max_tokens": 2, "messages": [{"role": "user", "content": "hello"}]}`)
-			answer, err := http.Post("http://"+running.Callers+"/v1/chat/completions", "application/json", body)
+			answer, err := http.Post("http://"+running.CallersAddress+"/v1/chat/completions", "application/json", body)
 			if err != nil {
 				return false
 			}
--- a/internal/scenario/capacity/fleet_test.go
+++ b/internal/scenario/capacity/fleet_test.go
@@ -83,7 +83,7 @@
 	started, err := host.Start(loaded, zap.NewNop())
 	require.NoError(f.t, err)
 	f.hosts = append(f.hosts, started)
-	require.NoError(f.t, f.platform.AddEntryHost(name, started.Peers))
+	require.NoError(f.t, f.platform.AddEntryHost(name, started.PeersAddress))
 }
 
 func (f *fleet) stop() {
@@ -112,7 +112,7 @@
 func (f *fleet) edit(models, edit int, base int64) int64 {
 	var revision int64
 	require.Eventually(f.t, func() bool {
-		request, err := http.NewRequest(http.MethodPut, "http://"+f.hosts[edit%len(f.hosts)].Operators+"/admin/documents/kerlouan", bytes.NewReader(document(models, edit)))
+		request, err := http.NewRequest(http.MethodPut, "http://"+f.hosts[edit%len(f.hosts)].OperatorsAddress+"/admin/documents/kerlouan", bytes.NewReader(document(models, edit)))
 		require.NoError(f.t, err)
 		request.Header.Set("Authorization", "Bearer "+adminToken)
 		request.Header.Set("If-Match", strconv.Quote(strconv.FormatInt(base, 10)))
@@ -136,7 +136,7 @@
 
 // metrics reads a host's metrics.
 func (f *fleet) metrics(running *host.Host) map[string]float64 {
-	request, err := http.NewRequest(http.MethodGet, "http://"+running.Operators+"/metrics", http.NoBody)
+	request, err := http.NewRequest(http.MethodGet, "http://"+running.OperatorsAddress+"/metrics", http.NoBody)
 	require.NoError(f.t, err)
 	request.Header.Set("Authorization", "Bearer "+adminToken)
 	answer, err := http.DefaultClient.Do(request)
--- a/internal/scenario/capacity/in_force_test.go
+++ b/internal/scenario/capacity/in_force_test.go
@@ -63,7 +63,7 @@
 }
 
 func (f *fleet) serves(running *host.Host) int64 {
-	request, err := http.NewRequest(http.MethodGet, "http://"+running.Operators+"/admin/documents", http.NoBody)
+	request, err := http.NewRequest(http.MethodGet, "http://"+running.OperatorsAddress+"/admin/documents", http.NoBody)
 	if err != nil {
 		return 0
 	}
--- a/internal/traffic/dispatch/chat.go
+++ b/internal/traffic/dispatch/chat.go
@@ -14,12 +14,12 @@
 	"cicadaloom/internal/peer/engine"
 )
 
-// Chat serves a request to a model or adapter. It returns nil if the caller got
+// ServeChat serves a request to a model or adapter. It returns nil if the caller got
 // the complete answer.
-func (d *Dispatcher) Chat(ctx context.Context, chat Chat, sink Sink) *Failure {
+func (d *Dispatcher) ServeChat(ctx context.Context, chat ChatRequest, sink Sink) *Failure {
 	target, found := d.ControlPlane.Table().Target(chat.Model)
 	if !found {
-		return d.recordRefusal(&chat.Request, string(chat.Model), "", Untouched(CodeModelNotFound, "no team declares a model or adapter "+string(chat.Model), time.Time{}))
+		return d.recordRefusal(&chat.Request, string(chat.Model), "", NewNotSentFailure(CodeModelNotFound, "no team declares a model or adapter "+string(chat.Model), time.Time{}))
 	}
 	if failure := resolveClass(&chat.Request, target); failure != nil {
 		return d.recordRefusal(&chat.Request, target.Label(), target.Team, failure)
@@ -38,7 +38,7 @@
 
 // serve runs the steps that chats and requests to plain services share: the
 // check for suspects, the claim, and send in between.
-func (h *requestHandler) serve(ctx context.Context, sink Sink, send func(context.Context) (Whole, *Failure)) *Failure {
+func (h *requestHandler) serve(ctx context.Context, sink Sink, send func(context.Context) (Answer, *Failure)) *Failure {
 	if h.verdict == suspects.Refuse {
 		return h.failSuspect()
 	}
@@ -52,7 +52,7 @@
 		return failure
 	}
 	if stored != nil {
-		_ = sink.Whole(*stored)
+		_ = sink.SendAnswer(*stored)
 		return nil
 	}
 	h.RetryBudget.CountRequest()
@@ -69,18 +69,18 @@
 // the caller so far.
 type chatHandler struct {
 	*requestHandler
-	chat          *Chat
+	chat          *ChatRequest
 	sink          Sink
 	tokensSent    int
 	streamStarted bool
-	answer        Whole
+	answer        Answer
 	// recordedStream is the part of the stream that was sent, as long as it
 	// fits into a claim's stored answer for repeats.
 	recordedStream []byte
 }
 
 // sendUntilAnswered sends the chat until it is answered or fails for good.
-func (h *chatHandler) sendUntilAnswered(ctx context.Context) (Whole, *Failure) {
+func (h *chatHandler) sendUntilAnswered(ctx context.Context) (Answer, *Failure) {
 	for {
 		choice, failure := h.chooseReplica(ctx)
 		if failure != nil {
@@ -144,7 +144,7 @@
 			dog.reset(h.streamStallTimeout())
 		case engine.Whole:
 			h.linkTransfer.CountReceived(h.Now(), unit.Bytes(len(e.Raw)))
-			h.answer = Whole{
+			h.answer = Answer{
 				Status:      http.StatusOK,
 				ContentType: contentTypeJSON,
 				Body:        e.Raw,
@@ -163,14 +163,14 @@
 func (h *chatHandler) chunk(chunk engine.Chunk) error {
 	if !h.streamStarted {
 		h.streamStarted = true
-		h.sink.Begin()
+		h.sink.StartStream()
 	}
 	if chunk.IsFirstToken {
 		h.recordFirstToken()
 	}
 	h.tokensSent = chunk.Tokens
 	h.recordEvent(string(chunk.Raw))
-	if err := h.sink.Chunk(chunk.Raw); err != nil {
+	if err := h.sink.SendChunk(chunk.Raw); err != nil {
 		return errors.Wrap(context.Canceled, err.Error())
 	}
 	return nil
@@ -193,19 +193,19 @@
 	h.ticket.Release(true)
 	h.harmless.add(h.fingerprint)
 	if h.verdict == suspects.ServeAlone || h.lostAttempts > 0 {
-		h.Reporter.Cleared(h.fingerprint)
+		h.Reporter.ReportCleared(h.fingerprint)
 	}
 	if h.chat.Stream {
 		h.answeredLate = h.isStreamLate()
 		h.recordEvent(streamEnd)
-		h.answer = Whole{
+		h.answer = Answer{
 			Status:      http.StatusOK,
 			ContentType: contentTypeStream,
 			Body:        h.recordedStream,
 		}
 		return nil
 	}
-	if err := h.sink.Whole(h.answer); err != nil {
+	if err := h.sink.SendAnswer(h.answer); err != nil {
 		return h.fail(CodeCancelled, "the caller has gone", time.Time{})
 	}
 	return nil
@@ -278,12 +278,12 @@
 		return h.fail(CodeBackendFailed, "the engine that was to go on refused: "+refusal.Error(), h.retryAt())
 	}
 	h.recordFirstToken()
-	h.answer = Whole{
+	h.answer = Answer{
 		Status:      refusal.Status,
 		ContentType: contentTypeJSON,
 		Body:        refusal.Body,
 	}
-	if err := h.sink.Whole(h.answer); err != nil {
+	if err := h.sink.SendAnswer(h.answer); err != nil {
 		return h.fail(CodeCancelled, "the caller has gone", time.Time{})
 	}
 	return nil
--- a/internal/traffic/dispatch/claim.go
+++ b/internal/traffic/dispatch/claim.go
@@ -21,20 +21,20 @@
 
 // needsClaim reports whether the request needs a claim.
 func (h *requestHandler) needsClaim() bool {
-	return !h.mayRepeat && h.request.Key != ""
+	return !h.mayRepeat && h.request.IdempotencyKey != ""
 }
 
 // claim acquires the claim that permits sending the request. It returns a
 // stored answer if the request has run before, or the failure that ends the
 // request.
-func (h *requestHandler) claim(ctx context.Context) (*Whole, *Failure) {
+func (h *requestHandler) claim(ctx context.Context) (*Answer, *Failure) {
 	if !h.needsClaim() {
 		return nil, nil
 	}
 	h.claimAttempt = ident.NewAttemptID()
 	answer := h.Claims.Claim(ctx, claims.Claim{
 		Team:        h.target.Team,
-		Key:         h.request.Key,
+		Key:         h.request.IdempotencyKey,
 		Attempt:     h.claimAttempt,
 		Fingerprint: h.fingerprint,
 		Deadline:    h.request.Deadline,
@@ -68,12 +68,12 @@
 	return h.fail(CodeClaimRefused, answer.Reason, answer.RetryAt)
 }
 
-func (h *requestHandler) storedAnswer(answer claims.Answer) (*Whole, *Failure) {
+func (h *requestHandler) storedAnswer(answer claims.Answer) (*Answer, *Failure) {
 	h.history.RecordFinishFound()
 	if !answer.BodyKept {
 		return nil, h.fail(CodeAlreadyRun, "this request has run to its end before; its answer was too large to keep", time.Time{})
 	}
-	return &Whole{
+	return &Answer{
 		Status:      answer.Status,
 		ContentType: answer.ContentType,
 		Body:        answer.Body,
@@ -84,7 +84,7 @@
 // settleClaim reports the outcome of the request to its claim. If the outcome
 // is unknown, the claim stays as it is and reads "may have run" for as long as
 // keys are kept.
-func (h *requestHandler) settleClaim(answer Whole) {
+func (h *requestHandler) settleClaim(answer Answer) {
 	if !h.needsClaim() {
 		return
 	}
@@ -93,7 +93,7 @@
 	case result.IsRan():
 		h.Claims.Finish(claims.Finish{
 			Team:        h.target.Team,
-			Key:         h.request.Key,
+			Key:         h.request.IdempotencyKey,
 			Attempt:     h.claimAttempt,
 			Status:      answer.Status,
 			Body:        answer.Body,
@@ -102,7 +102,7 @@
 	case result.IsNotRun():
 		h.Claims.Release(claims.Release{
 			Team:    h.target.Team,
-			Key:     h.request.Key,
+			Key:     h.request.IdempotencyKey,
 			Attempt: h.claimAttempt,
 			Outcome: result,
 		})
--- a/internal/traffic/dispatch/claim_test.go
+++ b/internal/traffic/dispatch/claim_test.go
@@ -35,7 +35,7 @@
 				},
 			},
 			request: &Request{
-				Key: "boat-1",
+				IdempotencyKey: "boat-1",
 			},
 			target: &routing.Target{},
 		}
--- a/internal/traffic/dispatch/dispatch.go
+++ b/internal/traffic/dispatch/dispatch.go
@@ -50,17 +50,17 @@
 	"cicadaloom/internal/peer/plain"
 )
 
-// Knowledge provides immutable snapshots of the host's state.
-type Knowledge interface {
+// ControlPlane provides immutable snapshots of the host's state.
+type ControlPlane interface {
 	Table() *routing.Table
 	Suspects() *suspects.View
 }
 
 // Reporter receives the results of requests. Its methods must not block.
 type Reporter interface {
-	Finished(sample burn.Sample)
-	Died(loss suspects.LostAttempt)
-	Cleared(fingerprint ident.Fingerprint)
+	ReportResult(sample burn.Sample)
+	ReportLostAttempt(loss suspects.LostAttempt)
+	ReportCleared(fingerprint ident.Fingerprint)
 }
 
 // Engines sends requests to engines.
@@ -76,7 +76,7 @@
 // Dispatcher serves requests. All fields but RetryBudget, LinkLimiter and
 // Decisions must be set. It is safe for concurrent use.
 type Dispatcher struct {
-	ControlPlane  Knowledge
+	ControlPlane  ControlPlane
 	Claims        Claims
 	Reporter      Reporter
 	Engines       Engines
@@ -173,7 +173,7 @@
 		RetryAt: retryAt,
 		// A client that automatically repeats a request that may have run, and
 		// may not be repeated, can at best get the same answer again.
-		Final: !h.mayRepeat && !result.IsNotRun(),
+		ForbidsRetry: !h.mayRepeat && !result.IsNotRun(),
 	}
 }
 
@@ -198,7 +198,7 @@
 		Class: h.request.Class,
 		Model: ident.ModelName(h.target.Label()),
 	}
-	h.Reporter.Finished(burn.Sample{
+	h.Reporter.ReportResult(burn.Sample{
 		Key:    key,
 		Result: result,
 	})
@@ -208,6 +208,6 @@
 		return nil
 	}
 	h.Metrics.countFailure(failure)
-	h.records().Failed(h.Now(), h.requestInfo(), failure)
+	h.records().RecordFailure(h.Now(), h.requestInfo(), failure)
 	return failure
 }
--- a/internal/traffic/dispatch/failure.go
+++ b/internal/traffic/dispatch/failure.go
@@ -69,8 +69,8 @@
 	// RetryAt is when the caller may repeat the request; zero where repeating
 	// it does not help.
 	RetryAt time.Time
-	// Final tells clients not to repeat the request automatically.
-	Final bool
+	// ForbidsRetry tells clients not to repeat the request automatically.
+	ForbidsRetry bool
 }
 
 // Error implements error.
@@ -86,8 +86,8 @@
 	return http.StatusInternalServerError
 }
 
-// Untouched returns the failure of a request that was not sent to any server.
-func Untouched(code Code, message string, retryAt time.Time) *Failure {
+// NewNotSentFailure returns the failure of a request that was not sent to any server.
+func NewNotSentFailure(code Code, message string, retryAt time.Time) *Failure {
 	var nothing outcome.AttemptHistory
 	return &Failure{
 		Code:    code,
--- a/internal/traffic/dispatch/records.go
+++ b/internal/traffic/dispatch/records.go
@@ -48,8 +48,8 @@
 	return append(fields, more...)
 }
 
-// Failed records a request that was refused or failed.
-func (r *Records) Failed(now time.Time, info *RequestInfo, failure *Failure) {
+// RecordFailure records a request that was refused or failed.
+func (r *Records) RecordFailure(now time.Time, info *RequestInfo, failure *Failure) {
 	r.Decisions.Add(decisions.Decision{
 		Kind:    decisions.KindFailure,
 		At:      now,
@@ -113,14 +113,14 @@
 // recordRefusal records a request that was refused before its team was known or
 // its class was resolved.
 func (d *Dispatcher) recordRefusal(request *Request, target string, team ident.TeamName, failure *Failure) *Failure {
-	info := request.About(target)
+	info := request.Info(target)
 	info.Team = team
-	d.records().Failed(d.Now(), &info, failure)
+	d.records().RecordFailure(d.Now(), &info, failure)
 	return failure
 }
 
-// About returns the information that the request itself contains.
-func (r *Request) About(target string) RequestInfo {
+// Info returns the information that the request itself contains.
+func (r *Request) Info(target string) RequestInfo {
 	return RequestInfo{
 		Request: r.ID,
 		Caller:  r.Caller,
@@ -130,7 +130,7 @@
 }
 
 func (h *requestHandler) requestInfo() *RequestInfo {
-	info := h.request.About(h.target.Label())
+	info := h.request.Info(h.target.Label())
 	info.Team = h.target.Team
 	info.Attempt = h.attempt
 	if info.Attempt == "" {
--- a/internal/traffic/dispatch/records_test.go
+++ b/internal/traffic/dispatch/records_test.go
@@ -32,8 +32,8 @@
 		Log:       zap.New(core),
 		Decisions: decisions.NewLog("entry-1"),
 	}
-	failure := Untouched(CodeTooBusy, "too late", time.Time{})
-	records.Failed(time.Now(), testRequestInfo(), failure)
+	failure := NewNotSentFailure(CodeTooBusy, "too late", time.Time{})
+	records.RecordFailure(time.Now(), testRequestInfo(), failure)
 	records.recordAnswered(testRequestInfo(), burn.InTime, time.Second)
 	records.recordCancelled(testRequestInfo(), failure)
 	require.Equal(t, 3, lines.Len())
@@ -57,12 +57,12 @@
 		Decisions: decisions.NewLog("entry-1"),
 	}
 	about := testRequestInfo()
-	failure := Untouched(CodeTooBusy, "too late", time.Time{})
+	failure := NewNotSentFailure(CodeTooBusy, "too late", time.Time{})
 	now := time.Now()
 	b.Run("Failed", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			records.Failed(now, about, failure)
+			records.RecordFailure(now, about, failure)
 		}
 	})
 	b.Run("FailedAndLogged", func(b *testing.B) {
@@ -73,7 +73,7 @@
 		logged.Log = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), sink, zap.InfoLevel))
 		b.ReportAllocs()
 		for b.Loop() {
-			logged.Failed(now, about, failure)
+			logged.RecordFailure(now, about, failure)
 		}
 	})
 	b.Run("Answered", func(b *testing.B) {
--- a/internal/traffic/dispatch/request.go
+++ b/internal/traffic/dispatch/request.go
@@ -17,16 +17,16 @@
 
 // Request holds the common fields of requests to models and to plain services.
 type Request struct {
-	ID       ident.RequestID
-	Caller   ident.CallerName
-	Class    ident.ClassName
-	Key      ident.IdempotencyKey
-	Deadline time.Time
-	Body     []byte
+	ID             ident.RequestID
+	Caller         ident.CallerName
+	Class          ident.ClassName
+	IdempotencyKey ident.IdempotencyKey
+	Deadline       time.Time
+	Body           []byte
 }
 
-// Chat is a request to a model or adapter.
-type Chat struct {
+// ChatRequest is a request to a model or adapter.
+type ChatRequest struct {
 	Request
 	Model  ident.ModelName
 	Stream bool
@@ -34,8 +34,8 @@
 	MaxTokens unit.Tokens
 }
 
-// Plain is a request to a plain service.
-type Plain struct {
+// PlainRequest is a request to a plain service.
+type PlainRequest struct {
 	Request
 	Service ident.ServiceName
 	Method  string
@@ -44,8 +44,8 @@
 	Header http.Header
 }
 
-// Whole is a complete answer.
-type Whole struct {
+// SendAnswer is a complete answer.
+type Answer struct {
 	Status      int
 	ContentType string
 	// Header holds the other headers of a plain service's answer; a stored
@@ -60,12 +60,12 @@
 // Sink passes the answer to the caller.
 type Sink interface {
 	// Called once, before the first chunk of a stream.
-	Begin()
+	StartStream()
 	// Sends one event of a stream. An error means that the caller
 	// disconnected.
-	Chunk(data []byte) error
+	SendChunk(data []byte) error
 	// Sends an answer that is not a stream.
-	Whole(answer Whole) error
+	SendAnswer(answer Answer) error
 }
 
 // fingerprint identifies the content of a request, so that it is recognized
@@ -95,7 +95,7 @@
 
 // promptPrefix returns the hash of the beginning of a chat's prompt, as the
 // engines' caches compute it.
-func (c *Chat) promptPrefix() uint64 {
+func (c *ChatRequest) promptPrefix() uint64 {
 	chat, err := engineapi.ParseChat(c.Body)
 	if err != nil || len(chat.Messages) == 0 {
 		return xxhash.Sum64(c.Body) // the engine reports what is wrong
@@ -131,5 +131,5 @@
 		}
 		names = append(names, string(class.Name))
 	}
-	return Untouched(CodeHeaderInvalid, "class: found "+strconv.Quote(string(request.Class))+", allowed "+strings.Join(names, ", "), time.Time{})
+	return NewNotSentFailure(CodeHeaderInvalid, "class: found "+strconv.Quote(string(request.Class))+", allowed "+strings.Join(names, ", "), time.Time{})
 }
--- a/internal/traffic/dispatch/request_test.go
+++ b/internal/traffic/dispatch/request_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func newChat(messages string) *Chat {
-	return &Chat{
+func newChat(messages string) *ChatRequest {
+	return &ChatRequest{
 		Request: Request{
 			Body: []byte(`{"model":"briefing","messages":[` + messages + `]}`),
 		},
--- a/internal/traffic/dispatch/route.go
+++ b/internal/traffic/dispatch/route.go
@@ -230,7 +230,7 @@
 		h.crashNotice.record(h.Now())
 	}
 	h.records().recordLostAttempt(h.Now(), h.requestInfo(), choice, cause)
-	h.Reporter.Died(suspects.LostAttempt{
+	h.Reporter.ReportLostAttempt(suspects.LostAttempt{
 		Fingerprint: h.fingerprint,
 		Request:     h.request.ID,
 		Attempt:     h.attempt,
--- a/internal/traffic/dispatch/service.go
+++ b/internal/traffic/dispatch/service.go
@@ -17,12 +17,12 @@
 	streamEnd         = "[DONE]"
 )
 
-// Plain serves a request to a plain service. It returns nil if the caller got
+// ServePlain serves a request to a plain service. It returns nil if the caller got
 // the complete answer.
-func (d *Dispatcher) Plain(ctx context.Context, request Plain, sink Sink) *Failure {
+func (d *Dispatcher) ServePlain(ctx context.Context, request PlainRequest, sink Sink) *Failure {
 	target, found := d.ControlPlane.Table().Service(request.Service)
 	if !found {
-		return d.recordRefusal(&request.Request, string(request.Service), "", Untouched(CodeServiceNotFound, "no team declares a service "+string(request.Service), time.Time{}))
+		return d.recordRefusal(&request.Request, string(request.Service), "", NewNotSentFailure(CodeServiceNotFound, "no team declares a service "+string(request.Service), time.Time{}))
 	}
 	if failure := resolveClass(&request.Request, target); failure != nil {
 		return d.recordRefusal(&request.Request, target.Label(), target.Team, failure)
@@ -42,12 +42,12 @@
 // plainHandler is the state of a request to a plain service in progress.
 type plainHandler struct {
 	*requestHandler
-	plain  *Plain
+	plain  *PlainRequest
 	sink   Sink
-	answer Whole
+	answer Answer
 }
 
-func (h *plainHandler) sendUntilAnswered(ctx context.Context) (Whole, *Failure) {
+func (h *plainHandler) sendUntilAnswered(ctx context.Context) (Answer, *Failure) {
 	for {
 		choice, failure := h.chooseReplica(ctx)
 		if failure != nil {
@@ -93,13 +93,13 @@
 	h.ticket.Release(true)
 	h.harmless.add(h.fingerprint)
 	h.linkTransfer.CountReceived(h.firstTokenAt, unit.Bytes(len(answer.Body)))
-	h.answer = Whole{
+	h.answer = Answer{
 		Status:      answer.Status,
 		ContentType: answer.Header.Get("Content-Type"),
 		Header:      answer.Header,
 		Body:        answer.Body,
 	}
-	if err := h.sink.Whole(h.answer); err != nil {
+	if err := h.sink.SendAnswer(h.answer); err != nil {
 		return h.fail(CodeCancelled, "the caller has gone", time.Time{})
 	}
 	return nil
--- a/internal/traffic/host/answers_test.go
+++ b/internal/traffic/host/answers_test.go
@@ -60,7 +60,7 @@
 			for n := range questions {
 				question := fmt.Sprintf("question-%d-%d.", caller, n)
 				stream := n%2 == 0
-				status, _, text, err := postRequest(f.hosts[(caller+n)%3].Callers, "/v1/chat/completions", newChatBody(question, 5, stream))
+				status, _, text, err := postRequest(f.hosts[(caller+n)%3].CallersAddress, "/v1/chat/completions", newChatBody(question, 5, stream))
 				ended := err == nil && status == http.StatusOK && (!stream || strings.HasSuffix(text, "data: [DONE]\n\n"))
 				mu.Lock()
 				if ended {
@@ -84,7 +84,7 @@
 func TestLongUnstreamedAnswerRunsOnce(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.putDocument(historyDocument, 1)
-	status, _, text, err := postRequest(f.hosts[0].Callers, "/v1/chat/completions", newChatBody("long", 400, false))
+	status, _, text, err := postRequest(f.hosts[0].CallersAddress, "/v1/chat/completions", newChatBody("long", 400, false))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status, text)
 	require.Contains(t, text, " w398-")
--- a/internal/traffic/host/cancel_test.go
+++ b/internal/traffic/host/cancel_test.go
@@ -16,7 +16,7 @@
 // sendChat sends a chat to one host and returns the response when its headers
 // have arrived.
 func (f *fleet) sendChat(ctx context.Context, host int, body string) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.hosts[host].Callers+"/v1/chat/completions", strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.hosts[host].CallersAddress+"/v1/chat/completions", strings.NewReader(body))
 	require.NoError(f.t, err)
 	request.Header.Set("Content-Type", "application/json")
 	return http.DefaultClient.Do(request)
--- a/internal/traffic/host/drain_test.go
+++ b/internal/traffic/host/drain_test.go
@@ -10,7 +10,7 @@
 
 func (f *fleet) healthStatus(at int) int {
 	f.t.Helper()
-	answer, err := http.Get("http://" + f.hosts[at].Callers + "/healthz")
+	answer, err := http.Get("http://" + f.hosts[at].CallersAddress + "/healthz")
 	require.NoError(f.t, err)
 	require.NoError(f.t, answer.Body.Close())
 	return answer.StatusCode
--- a/internal/traffic/host/fleet_test.go
+++ b/internal/traffic/host/fleet_test.go
@@ -65,7 +65,7 @@
 	started, err := Start(f.hostSettings(name), zap.NewNop())
 	require.NoError(f.t, err)
 	f.hosts = append(f.hosts, started)
-	require.NoError(f.t, f.platform.AddEntryHost(name, started.Peers))
+	require.NoError(f.t, f.platform.AddEntryHost(name, started.PeersAddress))
 }
 
 func (f *fleet) hostSettings(name ident.HostID) settings.Settings {
@@ -86,7 +86,7 @@
 	text, err := os.ReadFile(file)
 	require.NoError(f.t, err)
 	require.Eventually(f.t, func() bool {
-		request, err := http.NewRequest(http.MethodPut, "http://"+f.hosts[0].Operators+"/admin/documents/kerlouan", strings.NewReader(string(text)))
+		request, err := http.NewRequest(http.MethodPut, "http://"+f.hosts[0].OperatorsAddress+"/admin/documents/kerlouan", strings.NewReader(string(text)))
 		require.NoError(f.t, err)
 		request.Header.Set("Authorization", "Bearer "+adminToken)
 		request.Header.Set("If-Match", `"0"`)
--- a/internal/traffic/host/history_test.go
+++ b/internal/traffic/host/history_test.go
@@ -129,7 +129,7 @@
 	f.putDocument(historyDocument, 1)
 	for _, running := range f.hosts {
 		require.Eventually(t, func() bool {
-			status, _, _, err := postRequest(running.Callers, "/services/boat-dispatch/", "warm", "Idempotency-Key", "warm")
+			status, _, _, err := postRequest(running.CallersAddress, "/services/boat-dispatch/", "warm", "Idempotency-Key", "warm")
 			return err == nil && status == http.StatusOK
 		}, waitTimeout, pollInterval)
 	}
@@ -156,7 +156,7 @@
 					Input:    key,
 					Call:     time.Since(start).Nanoseconds(),
 				}
-				status, header, _, err := postRequest(f.hosts[random.IntN(len(f.hosts))].Callers, "/services/boat-dispatch/", key,
+				status, header, _, err := postRequest(f.hosts[random.IntN(len(f.hosts))].CallersAddress, "/services/boat-dispatch/", key,
 					"Idempotency-Key", key, "Cicadaloom-Timeout", "2s")
 				op.Output = readRunReport(status, header, err)
 				op.Return = time.Since(start).Nanoseconds()
@@ -289,7 +289,7 @@
 }
 
 func (f *fleet) sendAdminRequest(host int, method, tag, body string) (*http.Response, error) {
-	request, err := http.NewRequest(method, "http://"+f.hosts[host].Operators+"/admin/documents/nour", strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+f.hosts[host].OperatorsAddress+"/admin/documents/nour", strings.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/traffic/host/host.go
+++ b/internal/traffic/host/host.go
@@ -50,9 +50,9 @@
 
 // Host is a running entry host, with the addresses at which it listens.
 type Host struct {
-	Callers   string
-	Operators string
-	Peers     string
+	CallersAddress   string
+	OperatorsAddress string
+	PeersAddress     string
 
 	metrics       *metrics.Set
 	decisions     *decisions.Log
@@ -121,12 +121,12 @@
 		Handler: h.control,
 		Fleet:   keyValue.FleetID,
 	}
-	h.Peers, err = peers.Start(loaded.Listen.Peers)
+	h.PeersAddress, err = peers.Start(loaded.Listen.Peers)
 	if err != nil {
 		return err
 	}
 	h.peers = peers
-	h.control.Start(h.Peers)
+	h.control.Start(h.PeersAddress)
 	return h.listen(loaded, log)
 }
 
@@ -148,7 +148,7 @@
 		Log:          log,
 		TLS:          certificates,
 	}
-	h.Callers, err = callers.Start(loaded.Listen.Callers)
+	h.CallersAddress, err = callers.Start(loaded.Listen.Callers)
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 		Log:      log,
 		TLS:      certificates,
 	}
-	h.Operators, err = operators.Start(loaded.Listen.Operators)
+	h.OperatorsAddress, err = operators.Start(loaded.Listen.Operators)
 	if err != nil {
 		return err
 	}
--- a/internal/traffic/host/long_answer_test.go
+++ b/internal/traffic/host/long_answer_test.go
@@ -15,7 +15,7 @@
 func TestLongUnstreamedAnswerIsNotTimedOut(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.putDocument("testdata/patient.json", 2)
-	client := openai.NewClient(option.WithBaseURL("http://"+f.hosts[0].Callers+"/v1"), option.WithAPIKey("unused"), option.WithMaxRetries(0))
+	client := openai.NewClient(option.WithBaseURL("http://"+f.hosts[0].CallersAddress+"/v1"), option.WithAPIKey("unused"), option.WithMaxRetries(0))
 	for _, bounded := range []bool{true, false} {
 		question := openai.ChatCompletionNewParams{
 			Model:    "briefing",
--- a/internal/traffic/host/openai_test.go
+++ b/internal/traffic/host/openai_test.go
@@ -15,7 +15,7 @@
 func TestOfficialClient(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	f.putDocument("testdata/kerlouan.json", 2)
-	client := openai.NewClient(option.WithBaseURL("http://"+f.hosts[1].Callers+"/v1"), option.WithAPIKey("unused"))
+	client := openai.NewClient(option.WithBaseURL("http://"+f.hosts[1].CallersAddress+"/v1"), option.WithAPIKey("unused"))
 	question := openai.ChatCompletionNewParams{
 		Model:     "briefing",
 		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")},
--- a/internal/traffic/host/plain_test.go
+++ b/internal/traffic/host/plain_test.go
@@ -44,7 +44,7 @@
 		Service:    "boat-desk",
 	}))
 	f.putDocument("testdata/desk.json", 0)
-	url := "http://" + f.hosts[0].Callers + "/services/boat%2Ddesk/boats%2F7/x?urgent=yes%20please"
+	url := "http://" + f.hosts[0].CallersAddress + "/services/boat%2Ddesk/boats%2F7/x?urgent=yes%20please"
 	var answer *http.Response
 	require.Eventually(t, func() bool {
 		request, err := http.NewRequest(http.MethodPatch, url, strings.NewReader("{}"))
--- a/internal/traffic/host/stop_test.go
+++ b/internal/traffic/host/stop_test.go
@@ -29,7 +29,7 @@
 	}, waitTimeout, pollInterval)
 	answered := make(chan int, 1)
 	go func() {
-		status, _, _, _ := postRequest(stopped.Callers, "/services/boat-desk/boats", "{}", "Idempotency-Key", "boat-1")
+		status, _, _, _ := postRequest(stopped.CallersAddress, "/services/boat-desk/boats", "{}", "Idempotency-Key", "boat-1")
 		answered <- status
 	}()
 	require.Eventually(t, func() bool { return len(service.Stats().Runs) > 0 }, waitTimeout, pollInterval)
@@ -54,15 +54,15 @@
 	ended := make(chan error, 1)
 	go func() { ended <- stopped.Stop(context.Background()) }()
 	require.Eventually(t, func() bool {
-		answer, err := http.Get("http://" + stopped.Callers + "/healthz")
+		answer, err := http.Get("http://" + stopped.CallersAddress + "/healthz")
 		require.NoError(t, err)
 		require.NoError(t, answer.Body.Close())
 		return answer.StatusCode == http.StatusServiceUnavailable
 	}, waitTimeout, pollInterval)
-	status, _, text, err := postRequest(stopped.Callers, "/v1/chat/completions", newChatBody("late", 2, false))
+	status, _, text, err := postRequest(stopped.CallersAddress, "/v1/chat/completions", newChatBody("late", 2, false))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, status, text)
 	require.NoError(t, <-ended)
-	_, _, _, err = postRequest(stopped.Callers, "/v1/chat/completions", newChatBody("too late", 2, false))
+	_, _, _, err = postRequest(stopped.CallersAddress, "/v1/chat/completions", newChatBody("too late", 2, false))
 	require.Error(t, err)
 }
