--- a/internal/control/placement/demand.go
+++ b/internal/control/placement/demand.go
@@ -255,9 +255,9 @@
 }
 
 // grewRecently reports whether the model gained a replica within
-// Settings.MinStay. All its replicas are then protected from eviction: if only
-// the new one were, an old one would be evicted instead, and two models with
-// alternating demand would evict each other at every change.
+// Settings.EvictionProtection. All its replicas are then protected from
+// eviction: if only the new one were, an old one would be evicted instead, and
+// two models with alternating demand would evict each other at every change.
 func (p *planner) grewRecently(model *modelState) bool {
 	for _, r := range model.replicas {
 		if p.input.Now.Sub(p.resident(r).FirstSeenAt) < p.settings.EvictionProtection {
--- a/internal/control/placement/placement.go
+++ b/internal/control/placement/placement.go
@@ -90,8 +90,9 @@
 	Region ident.Region
 	// RequestsPerSecond is the demand in requests a second.
 	RequestsPerSecond float64
-	// ReplicaRequestsPerSecond is the number of requests a second that one replica
-	// serves within the promised time; zero means Settings.ReplicaPerSecond.
+	// ReplicaRequestsPerSecond is the number of requests a second that one
+	// replica serves within the promised time; zero means
+	// Settings.ReplicaRequestsPerSecond.
 	ReplicaRequestsPerSecond float64
 }
 
@@ -103,16 +104,16 @@
 	// for demand must gain: at 0 only attainment counts, at 1 no move for
 	// demand is made.
 	MovesWeight float64
-	// ReplicaRequestsPerSecond is the request rate that one replica serves in time,
-	// used where none has been measured.
+	// ReplicaRequestsPerSecond is the request rate that one replica serves in
+	// time, used where none has been measured.
 	ReplicaRequestsPerSecond float64
 	// Horizon is how long a change of demand is expected to last.
 	Horizon time.Duration
 	// LoadTime is how long a load takes; a new replica serves nothing until
 	// then.
 	LoadTime time.Duration
-	// EvictionProtection is how long all replicas of a model are protected from eviction
-	// after the model gained one.
+	// EvictionProtection is how long all replicas of a model are protected from
+	// eviction after the model gained one.
 	EvictionProtection time.Duration
 }
 
--- a/internal/control/placement/placement_test.go
+++ b/internal/control/placement/placement_test.go
@@ -241,7 +241,8 @@
 }
 
 // Two models alternately need the one spare server. Small variations of the
-// rates must not cause moves, and large ones no more than MinStay permits.
+// rates must not cause moves, and large ones no more than EvictionProtection
+// permits.
 func TestAlternatingDemandLimitsMoves(t *testing.T) {
 	for _, test := range []struct {
 		high, low float64
--- a/internal/traffic/dispatch/chat.go
+++ b/internal/traffic/dispatch/chat.go
@@ -14,8 +14,8 @@
 	"cicadaloom/internal/peer/engine"
 )
 
-// ServeChat serves a request to a model or adapter. It returns nil if the caller got
-// the complete answer.
+// ServeChat serves a request to a model or adapter. It returns nil if the
+// caller got the complete answer.
 func (d *Dispatcher) ServeChat(ctx context.Context, chat ChatRequest, sink Sink) *Failure {
 	target, found := d.ControlPlane.Table().Target(chat.Model)
 	if !found {
--- a/internal/traffic/dispatch/dispatch.go
+++ b/internal/traffic/dispatch/dispatch.go
@@ -2,12 +2,12 @@
 // must run at most once, chooses backend servers and sends the request to them,
 // retries where that is safe, and passes the answer to the caller's Sink.
 //
-// Package caller parses HTTP requests and calls Dispatcher.Chat for models and
-// Dispatcher.Plain for plain services. Each call runs on the goroutine of its
-// request. It reads the host's state from immutable snapshots (ControlPlane)
-// and reports events by calls that don't block (Reporter). The package's own
-// shared state consists of counters, such as those of RetryBudget and
-// LinkLimiter, which are atomic.
+// Package caller parses HTTP requests and calls Dispatcher.ServeChat for models
+// and Dispatcher.ServePlain for plain services. Each call runs on the goroutine
+// of its request. It reads the host's state from immutable snapshots
+// (ControlPlane) and reports events by calls that don't block (Reporter). State
+// that requests share is atomic: the retry budget, the link limiter, the
+// counters, and the contents known to be harmless.
 //
 // # Usage
 //
@@ -19,7 +19,7 @@
 //		PlainServices: plain.NewClient(),
 //		Policy:        routing.LeastCost{},
 //	}
-//	if failure := dispatcher.Chat(ctx, chat, sink); failure != nil {
+//	if failure := dispatcher.ServeChat(ctx, chat, sink); failure != nil {
 //		// answer with failure.Status(), failure.Code, failure.Outcome
 //	}
 //
@@ -27,10 +27,11 @@
 //
 // A request that may not be repeated and carries an idempotency key is sent
 // only after its claim is durable in the platform's key-value service. Without
-// a key it is attempted only once. A request is sent a second time only if the
-// first attempt provably did not run it, or if it may be repeated, the retry
-// budget allows it and the deadline has not passed. The outcome that a failure
-// reports comes only from the request's attempt history (package outcome).
+// a key it has no claim, and is not sent again once an attempt may have run it.
+// A request is sent a second time only if the first attempt provably did not
+// run it, or if it may be repeated, the retry budget allows it and the deadline
+// has not passed. The outcome that a failure reports comes only from the
+// request's attempt history (package outcome).
 package dispatch
 
 import (
--- a/internal/traffic/dispatch/failure.go
+++ b/internal/traffic/dispatch/failure.go
@@ -86,7 +86,8 @@
 	return http.StatusInternalServerError
 }
 
-// NewNotSentFailure returns the failure of a request that was not sent to any server.
+// NewNotSentFailure returns the failure of a request that was not sent to any
+// server.
 func NewNotSentFailure(code Code, message string, retryAt time.Time) *Failure {
 	var nothing outcome.AttemptHistory
 	return &Failure{
--- a/internal/traffic/dispatch/request.go
+++ b/internal/traffic/dispatch/request.go
@@ -44,7 +44,7 @@
 	Header http.Header
 }
 
-// SendAnswer is a complete answer.
+// SendAnswer is a complete answer to a request.
 type Answer struct {
 	Status      int
 	ContentType string
@@ -59,12 +59,12 @@
 
 // Sink passes the answer to the caller.
 type Sink interface {
-	// Called once, before the first chunk of a stream.
+	// StartStream is called once, before the first chunk of a stream.
 	StartStream()
-	// Sends one event of a stream. An error means that the caller
+	// SendChunk sends one event of a stream. An error means that the caller
 	// disconnected.
 	SendChunk(data []byte) error
-	// Sends an answer that is not a stream.
+	// SendAnswer sends an answer that is not a stream.
 	SendAnswer(answer Answer) error
 }
 
--- a/internal/traffic/dispatch/service.go
+++ b/internal/traffic/dispatch/service.go
@@ -17,8 +17,8 @@
 	streamEnd         = "[DONE]"
 )
 
-// ServePlain serves a request to a plain service. It returns nil if the caller got
-// the complete answer.
+// ServePlain serves a request to a plain service. It returns nil if the caller
+// got the complete answer.
 func (d *Dispatcher) ServePlain(ctx context.Context, request PlainRequest, sink Sink) *Failure {
 	target, found := d.ControlPlane.Table().Service(request.Service)
 	if !found {
