--- a/internal/traffic/dispatch/dispatch.go
+++ b/internal/traffic/dispatch/dispatch.go
@@ -15,9 +15,13 @@
 //		ControlPlane:  loop,
 //		Claims:        loop,
 //		Reporter:      loop,
-//		Engines:       engine.NewClient(),
-//		PlainServices: plain.NewClient(),
+//		Engines:       &engine.Client{},
+//		PlainServices: &plain.Client{},
 //		Policy:        routing.LeastCost{},
+//		RetryBudget:   dispatch.NewRetryBudget(percent),
+//		Log:           log,
+//		Now:           time.Now,
+//		Random:        rand.Uint64,
 //	}
 //	if failure := dispatcher.ServeChat(ctx, chat, sink); failure != nil {
 //		// answer with failure.Status(), failure.Code, failure.Outcome
@@ -74,8 +78,8 @@
 	Do(ctx context.Context, address string, request *plain.Request) (*plain.Answer, *plain.Refusal)
 }
 
-// Dispatcher serves requests. All fields but RetryBudget, LinkLimiter and
-// Decisions must be set. It is safe for concurrent use.
+// Dispatcher serves requests. All fields but LinkLimiter, Metrics and Decisions
+// must be set. It is safe for concurrent use.
 type Dispatcher struct {
 	ControlPlane  ControlPlane
 	Claims        Claims
