--- a/internal/control/routing/machine.go
+++ b/internal/control/routing/machine.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// Requests returns the requests that this host has in flight at each server, for
+// InFlight returns the requests that this host has in flight at each server, for
 // its peers.
 func (m *Machine) InFlight() map[ident.ServerName]int64 {
 	requests := make(map[ident.ServerName]int64)
--- a/internal/traffic/dispatch/request.go
+++ b/internal/traffic/dispatch/request.go
@@ -44,7 +44,7 @@
 	Header http.Header
 }
 
-// SendAnswer is a complete answer to a request.
+// Answer is a complete answer to a request.
 type Answer struct {
 	Status      int
 	ContentType string
