--- a/internal/peer/engine/stream.go
+++ b/internal/peer/engine/stream.go
@@ -111,8 +111,7 @@
 
 // Next waits for the next event. After End it returns io.EOF. An error wraps
 // ErrTruncatedStream, ErrMalformedStream or the cause of the cancelled context; every
-// later
-// call returns the same error.
+// later call returns the same error.
 func (s *Stream) Next() (Event, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
