--- a/internal/scenario/testbed/fleet.go
+++ b/internal/scenario/testbed/fleet.go
@@ -10,25 +10,25 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Where everything in a scenario stands unless it says otherwise.
+// The default location of all hosts and servers of a scenario.
 const (
 	dataCentre = "brest-a"
 	region     = "finistere"
 )
 
-// anyPort is where a scenario's processes listen. Scenarios run side by side, and each
-// has a loopback address of its own: a port that one gives up would else be another's
-// soon, and get what is meant for a process that is gone.
-func anyPort(ts *testscript.TestScript) string {
-	return ts.Getenv(loopback) + ":0"
+// listenAddress returns the scenario's own loopback address with port 0. Scenarios run
+// in parallel: on one shared address, a port that one scenario frees could be taken by
+// another, which would then receive requests meant for the ended process.
+func listenAddress(ts *testscript.TestScript) string {
+	return ts.Getenv(loopbackVariable) + ":0"
 }
 
 func itoa(n int) string {
 	return strconv.Itoa(n)
 }
 
-// address takes the address from a stand-in's ready line, "listening ADDRESS".
-func address(ts *testscript.TestScript, line string) string {
+// readyAddress parses the address in a stand-in's ready line, "listening ADDRESS".
+func readyAddress(ts *testscript.TestScript, line string) string {
 	fields := strings.Fields(line)
 	if len(fields) < 2 || fields[0] != "listening" {
 		ts.Fatalf("found %q, expected listening ADDRESS", line)
@@ -38,50 +38,52 @@
 
 func cmdPlatform(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, !neg && len(args) == 0, "platform")
-	b := bedOf(ts)
-	line := b.start(ts, "kv", "standin", "etcd", "-listen", anyPort(ts), "-admin", anyPort(ts))
-	ts.Setenv("kv", address(ts, line))
+	s := scenarioOf(ts)
+	line := s.start(ts, "kv", "standin", "etcd", "-listen", listenAddress(ts), "-admin", listenAddress(ts))
+	ts.Setenv("kv", readyAddress(ts, line))
 	ts.Setenv("kv_faults", strings.TrimPrefix(strings.Fields(line)[2], "admin="))
 	for _, name := range []string{"hostlist", "weights"} {
-		at := address(ts, b.start(ts, name, "standin", name, "-listen", anyPort(ts)))
-		ts.Setenv(name, at)
-		ts.Setenv(name+"_faults", at)
+		address := readyAddress(ts, s.start(ts, name, "standin", name, "-listen", listenAddress(ts)))
+		ts.Setenv(name, address)
+		ts.Setenv(name+"_faults", address)
 	}
 }
 
 func cmdEngine(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, !neg && len(args) >= 1, "engine NAME [FLAGS]")
-	all := append(registered(ts, "engine", args[0]), "-weights", ts.Getenv("weights"))
-	at := address(ts, bedOf(ts).start(ts, args[0], "standin", append(all, args[1:]...)...))
-	ts.Setenv(args[0], at)
-	ts.Setenv(args[0]+"_faults", at)
+	arguments := append(registrationFlags(ts, "engine", args[0]), "-weights", ts.Getenv("weights"))
+	address := readyAddress(ts, scenarioOf(ts).start(ts, args[0], "standin", append(arguments, args[1:]...)...))
+	ts.Setenv(args[0], address)
+	ts.Setenv(args[0]+"_faults", address)
 }
 
 func cmdService(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, !neg && len(args) >= 2, "service NAME SERVICE [FLAGS]")
-	all := append(registered(ts, "plain", args[0]), "-service", args[1])
-	at := address(ts, bedOf(ts).start(ts, args[0], "standin", append(all, args[2:]...)...))
-	ts.Setenv(args[0], at)
-	ts.Setenv(args[0]+"_faults", at)
+	arguments := append(registrationFlags(ts, "plain", args[0]), "-service", args[1])
+	address := readyAddress(ts, scenarioOf(ts).start(ts, args[0], "standin", append(arguments, args[2:]...)...))
+	ts.Setenv(args[0], address)
+	ts.Setenv(args[0]+"_faults", address)
 }
 
-func registered(ts *testscript.TestScript, kind, name string) []string {
+// registrationFlags returns the arguments with which a stand-in registers itself in
+// the host list.
+func registrationFlags(ts *testscript.TestScript, kind, name string) []string {
 	return []string{
-		kind, "-listen", anyPort(ts), "-register", "http://" + ts.Getenv("hostlist"), "-name", name,
+		kind, "-listen", listenAddress(ts), "-register", "http://" + ts.Getenv("hostlist"), "-name", name,
 		"-data-centre", dataCentre, "-region", region,
 	}
 }
 
 func cmdRelay(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, !neg && len(args) == 2, "relay NAME TARGET")
-	line := bedOf(ts).start(ts, args[0], "standin", "relay", "-listen", anyPort(ts), "-admin", anyPort(ts), "-target", args[1])
-	ts.Setenv(args[0], address(ts, line))
+	line := scenarioOf(ts).start(ts, args[0], "standin", "relay", "-listen", listenAddress(ts), "-admin", listenAddress(ts), "-target", args[1])
+	ts.Setenv(args[0], readyAddress(ts, line))
 	ts.Setenv(args[0]+"_faults", strings.TrimPrefix(strings.Fields(line)[2], "admin="))
 }
 
-// defaults are the settings of an entry host in a scenario. Intervals are
+// defaultSettings returns the settings of an entry host in a scenario. Intervals are
 // shorter than a production host's, so that scenarios are quick.
-func defaults(ts *testscript.TestScript, name string) map[string]any {
+func defaultSettings(ts *testscript.TestScript, name string) map[string]any {
 	return map[string]any{
 		"Host": map[string]any{
 			"Name":        name,
@@ -90,9 +92,9 @@
 			"DataCentres": map[string]any{dataCentre: region, "lannion-a": "cotes-darmor"},
 		},
 		"Listen": map[string]any{
-			"Callers":   anyPort(ts),
-			"Operators": anyPort(ts),
-			"Peers":     anyPort(ts),
+			"Callers":   listenAddress(ts),
+			"Operators": listenAddress(ts),
+			"Peers":     listenAddress(ts),
 		},
 		"Platform": map[string]any{
 			"KeyValue": []any{ts.Getenv("kv")},
@@ -120,7 +122,8 @@
 	}
 }
 
-// Tokens of the operators in every scenario.
+// Tokens of the operators in all scenarios: of team kerlouan, of team nour, and of
+// the administrators.
 const (
 	TeamToken  = "kerlouan-token-0123456789"
 	OtherToken = "nour-token-0123456789-abc"
@@ -130,27 +133,27 @@
 func cmdHost(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, !neg && len(args) >= 1 && len(args) <= 2, "host NAME [SETTINGS.json]")
 	name := args[0]
-	merged := defaults(ts, name)
+	merged := defaultSettings(ts, name)
 	if len(args) == 2 {
-		var over map[string]any
-		ts.Check(json.Unmarshal([]byte(os.Expand(ts.ReadFile(args[1]), ts.Getenv)), &over))
-		merge(merged, over)
+		var overrides map[string]any
+		ts.Check(json.Unmarshal([]byte(os.Expand(ts.ReadFile(args[1]), ts.Getenv)), &overrides))
+		merge(merged, overrides)
 	}
 	data, err := json.MarshalIndent(merged, "", "  ")
 	ts.Check(err)
 	file := ts.MkAbs(name + ".settings.json")
 	ts.Check(os.WriteFile(file, data, 0o600))
-	line := bedOf(ts).start(ts, name, "cicadaloom", "serve", "-settings", file)
+	line := scenarioOf(ts).start(ts, name, "cicadaloom", "serve", "-settings", file)
 	for _, field := range strings.Fields(line)[1:] {
-		kind, at, _ := strings.Cut(field, "=")
-		ts.Setenv(name+"_"+kind, at)
+		kind, address, _ := strings.Cut(field, "=")
+		ts.Setenv(name+"_"+kind, address)
 	}
 	ts.Setenv(name, ts.Getenv(name+"_callers"))
-	list(ts, name, merged["Host"].(map[string]any))
+	registerHost(ts, name, merged["Host"].(map[string]any))
 }
 
-// list puts an entry host on the platform's list, as the platform would.
-func list(ts *testscript.TestScript, name string, host map[string]any) {
+// registerHost adds an entry host to the platform's host list, as the platform would.
+func registerHost(ts *testscript.TestScript, name string, host map[string]any) {
 	body, err := json.Marshal(map[string]any{
 		"Name":       name,
 		"Kind":       "Entry",
@@ -160,18 +163,18 @@
 		"Region":     host["Region"],
 	})
 	ts.Check(err)
-	answer, err := call(http.MethodPut, "http://"+ts.Getenv("hostlist")+"/hosts/"+name, nil, string(body))
+	answer, err := send(http.MethodPut, "http://"+ts.Getenv("hostlist")+"/hosts/"+name, nil, string(body))
 	ts.Check(err)
 	if answer.status >= http.StatusMultipleChoices {
 		ts.Fatalf("the host list answered %d: %s", answer.status, answer.body)
 	}
 }
 
-func merge(into, over map[string]any) {
-	for key, value := range over {
+func merge(into, overrides map[string]any) {
+	for key, value := range overrides {
 		inner, isObject := value.(map[string]any)
-		existing, has := into[key].(map[string]any)
-		if isObject && has {
+		existing, isPresent := into[key].(map[string]any)
+		if isObject && isPresent {
 			merge(existing, inner)
 			continue
 		}
--- a/internal/scenario/testbed/process.go
+++ b/internal/scenario/testbed/process.go
@@ -14,19 +14,21 @@
 	tomb "gopkg.in/tomb.v2"
 )
 
-// process is one process that a scenario has started.
+// process is an operating system process that a scenario has started. exitCode is
+// valid once ended is closed.
 type process struct {
-	name    string
-	command *exec.Cmd
-	ready   chan string
-	ended   chan struct{}
-	code    int
-	log     *os.File
-	tomb    tomb.Tomb
+	name     string
+	command  *exec.Cmd
+	ready    chan string
+	ended    chan struct{}
+	exitCode int
+	log      *os.File
+	tomb     tomb.Tomb
 }
 
-// start runs a program and waits for its first line, which says that it is ready.
-func (b *bed) start(ts *testscript.TestScript, name string, program string, args ...string) string {
+// start runs a program and returns its first line on stdout, which it prints once it
+// is ready. Its stderr goes to NAME.log.
+func (s *scenario) start(ts *testscript.TestScript, name string, program string, args ...string) string {
 	log, err := os.Create(ts.MkAbs(name + ".log"))
 	ts.Check(err)
 	p := &process{
@@ -41,23 +43,24 @@
 	out, err := p.command.StdoutPipe()
 	ts.Check(err)
 	ts.Check(p.command.Start())
-	b.mu.Lock()
-	b.processes[name] = p
-	b.mu.Unlock()
-	p.tomb.Go(func() error { return p.follow(out) })
+	s.mu.Lock()
+	s.processes[name] = p
+	s.mu.Unlock()
+	p.tomb.Go(func() error { return p.monitor(out) })
 	select {
 	case line := <-p.ready:
 		return line
 	case <-p.ended:
 		ts.Fatalf("%s ended at its start: %s", name, ts.ReadFile(name+".log"))
-	case <-time.After(waitMost):
+	case <-time.After(waitTimeout):
 		ts.Fatalf("%s was not ready in time: %s", name, ts.ReadFile(name+".log"))
 	}
 	return ""
 }
 
-// follow reads what the process prints and takes note of its end.
-func (p *process) follow(out io.Reader) error {
+// monitor passes on the first line of stdout, discards the rest, and records the
+// exit code.
+func (p *process) monitor(out io.Reader) error {
 	defer close(p.ended)
 	lines := bufio.NewScanner(out)
 	if lines.Scan() {
@@ -67,26 +70,26 @@
 	err := p.command.Wait()
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
-		p.code = exit.ExitCode()
+		p.exitCode = exit.ExitCode()
 	}
 	return p.log.Close()
 }
 
-func (b *bed) process(ts *testscript.TestScript, name string) *process {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p, found := b.processes[name]
+func (s *scenario) process(ts *testscript.TestScript, name string) *process {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p, found := s.processes[name]
 	if !found {
 		ts.Fatalf("no process %s was started", name)
 	}
 	return p
 }
 
-// endAll ends what the scenario left running. Frozen processes end by KILL too.
-func (b *bed) endAll() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, p := range b.processes {
+// killAll kills all processes of the scenario. SIGKILL also ends stopped ones.
+func (s *scenario) killAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, p := range s.processes {
 		_ = p.command.Process.Signal(syscall.SIGKILL)
 		<-p.ended
 	}
@@ -103,7 +106,7 @@
 	usage(ts, !neg && len(args) == 2, "signal KILL|STOP|CONT|TERM NAME")
 	signal, known := signals[args[0]]
 	usage(ts, known, "signal KILL|STOP|CONT|TERM NAME")
-	p := bedOf(ts).process(ts, args[1])
+	p := scenarioOf(ts).process(ts, args[1])
 	ts.Check(p.command.Process.Signal(signal))
 	if signal == syscall.SIGKILL {
 		<-p.ended
@@ -112,17 +115,17 @@
 
 func cmdEnded(ts *testscript.TestScript, neg bool, args []string) {
 	usage(ts, !neg && len(args) >= 1 && len(args) <= 2, "ended NAME [CODE]")
-	p := bedOf(ts).process(ts, args[0])
+	p := scenarioOf(ts).process(ts, args[0])
 	select {
 	case <-p.ended:
-	case <-time.After(waitMost):
+	case <-time.After(waitTimeout):
 		ts.Fatalf("%s has not ended", p.name)
 	}
 	want := "0"
 	if len(args) == 2 {
 		want = args[1]
 	}
-	if got := itoa(p.code); got != want {
+	if got := itoa(p.exitCode); got != want {
 		ts.Fatalf("%s ended with code %s, not %s: %s", p.name, got, want, tail(ts.ReadFile(p.name+".log")))
 	}
 }
--- a/internal/scenario/testbed/testbed.go
+++ b/internal/scenario/testbed/testbed.go
@@ -1,6 +1,7 @@
-// Package testbed runs scenarios: text files in the language of testscript, in
-// which entry hosts and stand-ins run as processes of their own and are
-// killed, frozen, cut off and edited.
+// Package testbed runs end-to-end scenarios: testscript files (testdata/*.txtar)
+// that start entry hosts and stand-ins as processes, kill or freeze them, cut
+// their connections, and edit documents. Setup prepares each scenario, Commands
+// has the commands that the package adds to testscript's own.
 //
 // # Usage
 //
@@ -13,35 +14,38 @@
 // # Commands
 //
 //	platform                     start the key-value service, host list and weight store
-//	engine NAME [FLAGS]          start a model engine and put it on the list
-//	service NAME SERVICE [FLAGS] start a plain service and put it on the list
+//	engine NAME [FLAGS]          start a model engine and add it to the host list
+//	service NAME SERVICE [FLAGS] start a plain service and add it to the host list
 //	host NAME [SETTINGS.json]    start an entry host; the file is merged over the defaults
-//	relay NAME TARGET            start a TCP relay that can be cut
+//	relay NAME TARGET            start a TCP relay that can drop its connections
 //	signal SIGNAL NAME           send KILL, STOP, CONT or TERM to a process
 //	ended NAME [CODE]            wait until a process has ended, with an exit code
 //	fault NAME JSON              set the fault switches of a stand-in
-//	ask NAME METHOD PATH [HEADER: VALUE]... [-d BODY]
-//	                             make a request; the answer is stdout
-//	operator NAME TOKEN METHOD PATH [HEADER: VALUE]... [-d BODY]
-//	                             the same at a host's administration
+//	ask NAME METHOD PATH [HEADER: VALUE]... [-d BODY | -f FILE]
+//	                             send a request as a caller; the answer is stdout
+//	operator NAME TOKEN METHOD PATH [HEADER: VALUE]... [-d BODY | -f FILE]
+//	                             send a request to a host's administration API
 //	edit NAME TEAM FILE [REVISION]
 //	                             put a team's document through a host
-//	revision NAME TEAM VARIABLE  keep the revision in force at a host in a variable
-//	until PATTERN COMMAND ...    repeat a command until its stdout matches
+//	revision NAME TEAM VARIABLE  store the revision in force at a host in a variable
+//	until PATTERN COMMAND ...    repeat an ask or operator command until its answer matches
 //	within DURATION PATTERN COMMAND ...
-//	                             the same where the time that it takes is promised
-//	begin LABEL COMMAND ...      begin a request and go on
-//	finished LABEL               wait for its answer, which is stdout
-//	many N COMMAND ...           run a command N times at once; stdout is sorted
+//	                             the same with a time limit, for times that are promised
+//	begin LABEL COMMAND ...      send a request without waiting for its answer
+//	finished LABEL               wait for that answer, which is stdout
+//	many N COMMAND ...           send a request N times concurrently; stdout has counts, sorted
 //	logged NAME LEVEL MESSAGE [FIELD | FIELD=VALUE]...
 //	                             wait for a line in a host's log; check its fields
-//	once NAME FIELD=VALUE        check that just one line of a host's log has it
-//	transcript FILE              write all answers so far to a file
-//	pin                          forget what is in the transcript
+//	once NAME FIELD=VALUE        check that exactly one line of a host's log has the field
+//	transcript FILE              write all answers since the last pin to a file
+//	pin                          clear the transcript
 //
-// A line with ! in front wants the command to fail. Waiting is always for a
-// condition, with waitMost as the bound after which the scenario fails.
+// A leading ! expects the command to fail. Every wait is for a condition, and the
+// scenario fails after waitTimeout.
 //
-// Ids, instants, ports and times are scrubbed from answers, so that a whole
-// session can be compared with a golden file.
+// Ids, instants, addresses and durations in answers are replaced by placeholders,
+// so that a session can be compared with a golden file. Scenarios run in parallel;
+// each has its own loopback address and working directory. The package's own test
+// runs them: go test ./internal/scenario/testbed, with -update to rewrite golden
+// files.
 package testbed
