--- a/internal/command/cicadaloom/client.go
+++ b/internal/command/cicadaloom/client.go
@@ -14,28 +14,28 @@
 	"github.com/pkg/errors"
 )
 
-// tokenVariable is the environment variable with an operator's token: on the
-// command line it would stand in the list of processes.
+// tokenVariable is the environment variable with an operator's token: as an argument
+// it would be visible in the process list.
 const tokenVariable = "CICADALOOM_TOKEN"
 
 const clientTimeout = 30 * time.Second
 
-// client talks to the administration API of an entry host.
+// client sends requests to the administration API of an entry host.
 type client struct {
 	base  string
 	token string
 	http  http.Client
 }
 
-// clientFlags declares the flags of every command that talks to a host.
-func clientFlags(flags *flag.FlagSet) *client {
+// declareClientFlags declares the flags of every command that sends requests to a host.
+func declareClientFlags(flags *flag.FlagSet) *client {
 	c := &client{}
 	flags.StringVar(&c.base, "operators", "http://127.0.0.1:8081", "the `URL` of the administration of any entry host")
 	flags.StringVar(&c.token, "token", os.Getenv(tokenVariable), "the operator's `token`; better given in "+tokenVariable)
 	return c
 }
 
-// reply is an answer of the administration API.
+// reply is a response of the administration API, with its body read.
 type reply struct {
 	status int
 	header http.Header
@@ -72,7 +72,7 @@
 	}, nil
 }
 
-// get fetches a page of the administration API.
+// get sends a GET request; a status of 400 or above is an error.
 func (c *client) get(path string) (reply, error) {
 	got, err := c.call(http.MethodGet, path, nil, nil)
 	if err != nil {
@@ -81,7 +81,8 @@
 	return got, got.failure()
 }
 
-// failure gives the error that an answer says.
+// failure returns the error of a response with a status of 400 or above, else nil.
+// 400 and 422 mean invalid input.
 func (r *reply) failure() error {
 	switch {
 	case r.status < http.StatusBadRequest:
--- a/internal/command/cicadaloom/command_test.go
+++ b/internal/command/cicadaloom/command_test.go
@@ -18,7 +18,7 @@
 	return code, out.String(), err.String()
 }
 
-// The page that operators read is what the code says.
+// docs/SETTINGS.md is the output of the reference command.
 func TestSettingsPageIsUpToDate(t *testing.T) {
 	code, out, _ := run("reference")
 	require.Equal(t, program.ExitOK, code)
@@ -27,7 +27,7 @@
 	require.Equal(t, string(page), out, "run: go run ./cmd/cicadaloom reference > docs/SETTINGS.md")
 }
 
-func TestEveryCommandHasAPage(t *testing.T) {
+func TestEveryCommandHasHelpPage(t *testing.T) {
 	for _, name := range commands.Names() {
 		code, out, err := run(name, "-h")
 		require.Equal(t, program.ExitOK, code, name)
@@ -36,9 +36,9 @@
 	}
 }
 
-// What an operator copies from the examples passes the check that they are told
-// to run first. A file of another name is no settings and no document: it fails.
-func TestExamplesPassTheCheck(t *testing.T) {
+// The example files pass the check that operators are told to run before they use a
+// copy. A file that is neither settings nor document.json fails.
+func TestExamplesPassCheck(t *testing.T) {
 	files, err := filepath.Glob("../../../examples/*/*.json")
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, len(files), 4)
@@ -47,13 +47,13 @@
 		if filepath.Base(file) == "document.json" {
 			kind = "-document"
 		}
-		code, out, complaint := run("check", kind, file)
-		require.Equal(t, program.ExitOK, code, complaint)
+		code, out, stderr := run("check", kind, file)
+		require.Equal(t, program.ExitOK, code, stderr)
 		require.Contains(t, out, "is in order", file)
 	}
 }
 
-func TestWrongCommandLines(t *testing.T) {
+func TestInvalidCommandLinesExitWithInputError(t *testing.T) {
 	for _, args := range [][]string{
 		{},
 		{"frobnicate"},
--- a/internal/command/cicadaloom/demo.go
+++ b/internal/command/cicadaloom/demo.go
@@ -48,13 +48,13 @@
 	demoTeam     = "kerlouan"
 )
 
-var demoPlace = platform.Location{
+var demoLocation = platform.Location{
 	DataCentre: "brest-a",
 	Region:     "finistere",
 }
 
-// show is the demo as it runs.
-type show struct {
+// demoRun is the state of a running demo.
+type demoRun struct {
 	to       program.Streams
 	ctx      context.Context
 	platform *platform.Platform
@@ -65,7 +65,7 @@
 func demo(ctx context.Context, to program.Streams, _ []string) error {
 	ctx, cancel := context.WithTimeout(ctx, demoDeadline)
 	defer cancel()
-	s := &show{
+	s := &demoRun{
 		to:  to,
 		ctx: ctx,
 	}
@@ -80,9 +80,9 @@
 	return nil
 }
 
-func (s *show) startPlatform() error {
+func (s *demoRun) startPlatform() error {
 	running, err := platform.Start(platform.Options{
-		Location: demoPlace,
+		Location: demoLocation,
 	})
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (s *show) startHosts() error {
+func (s *demoRun) startHosts() error {
 	for i := range demoHosts {
 		name := ident.HostID(fmt.Sprintf("entry-%d", i+1))
 		started, err := host.Start(s.settings(name), zap.NewNop())
@@ -122,9 +122,9 @@
 	return nil
 }
 
-// settings are those of a host of the demo. Its intervals are short, so that
-// the demo is; its addresses are whatever ports are free.
-func (s *show) settings(name ident.HostID) settings.Settings {
+// settings returns the settings of a demo host: short intervals, so that the demo
+// ends quickly, and addresses with any free port.
+func (s *demoRun) settings(name ident.HostID) settings.Settings {
 	result := s.platform.HostSettings(name)
 	result.Operators = settings.Operators{
 		Teams: []settings.TeamToken{
@@ -141,9 +141,9 @@
 	return result
 }
 
-// declare makes the demo's document: the first models of Kerlouan's example,
-// one replica each, since the weight store loads one and a half a second.
-func (s *show) declare() error {
+// declare puts the demo's document: the first models of Kerlouan's example with one
+// replica each, since the weight store loads only 1.5 models a second.
+func (s *demoRun) declare() error {
 	doc, err := teamdoc.Read(examples.Kerlouan)
 	if err != nil {
 		return err
@@ -157,7 +157,7 @@
 	return s.put()
 }
 
-func (s *show) stop() {
+func (s *demoRun) stop() {
 	for _, running := range s.hosts {
 		_ = running.Stop(context.Background())
 	}
--- a/internal/command/cicadaloom/demo_steps.go
+++ b/internal/command/cicadaloom/demo_steps.go
@@ -15,13 +15,13 @@
 	"cicadaloom/internal/peer/caller"
 )
 
-// step is one part of the demo.
+// step is one part of the demo, run in order.
 type step struct {
 	title string
 	run   func() error
 }
 
-func (s *show) steps() []step {
+func (s *demoRun) steps() []step {
 	return []step{
 		{
 			title: "the platform's stand-ins start",
@@ -37,7 +37,7 @@
 		},
 		{
 			title: "a caller asks for a drift briefing, whole and streamed",
-			run:   s.askBriefing,
+			run:   s.requestBriefings,
 		},
 		{
 			title: "a boat is dispatched; the caller repeats it through the other host",
@@ -45,23 +45,25 @@
 		},
 		{
 			title: "a request for a model that nobody declares is refused",
-			run:   s.refuse,
+			run:   s.showRefusal,
 		},
 		{
 			title: "an edit comes into force on both hosts",
-			run:   s.edit,
+			run:   s.showEdit,
 		},
 		{
 			title: "the report on service-level burn",
-			run:   s.report,
+			run:   s.showReport,
 		},
 	}
 }
 
-const lookEvery = 50 * time.Millisecond
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 50 * time.Millisecond
 
-// request makes a request and gives its answer.
-func (s *show) request(method, url, body string, headers ...string) (reply, error) {
+// request sends a request, with headers as pairs of name and value, and returns the
+// response.
+func (s *demoRun) request(method, url, body string, headers ...string) (reply, error) {
 	request, err := http.NewRequestWithContext(s.ctx, method, url, strings.NewReader(body))
 	if err != nil {
 		return reply{}, errors.Wrap(err, "request")
@@ -82,20 +84,21 @@
 	}, errors.Wrap(err, "answer")
 }
 
-func (s *show) operators(host int, path string) string {
+func (s *demoRun) operatorURL(host int, path string) string {
 	return "http://" + s.hosts[host].OperatorsAddress + path
 }
 
-func (s *show) callers(host int, path string) string {
+func (s *demoRun) callerURL(host int, path string) string {
 	return "http://" + s.hosts[host].CallersAddress + path
 }
 
-// until repeats a look until it is satisfied.
-func (s *show) until(satisfied func() (bool, error)) error {
-	ticker := time.NewTicker(lookEvery)
+// until polls a condition until it is true, returns an error, or the demo's deadline
+// passes.
+func (s *demoRun) until(condition func() (bool, error)) error {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		done, err := satisfied()
+		done, err := condition()
 		if err != nil || done {
 			return err
 		}
@@ -107,15 +110,15 @@
 	}
 }
 
-// put puts the document as the next edit of what is in force, and waits until
-// both hosts have it.
-func (s *show) put() error {
+// put puts the document with the revision in force as its base, and waits until all
+// hosts have it in force.
+func (s *demoRun) put() error {
 	text, err := teamdoc.Write(s.document)
 	if err != nil {
 		return err
 	}
-	url := s.operators(0, "/admin/documents/"+demoTeam)
-	begun := time.Now()
+	url := s.operatorURL(0, "/admin/documents/"+demoTeam)
+	started := time.Now()
 	var accepted reply
 	err = s.until(func() (bool, error) {
 		current, err := s.request(http.MethodGet, url, "", "Authorization", "Bearer "+demoToken)
@@ -127,7 +130,8 @@
 			revision = `"0"`
 		}
 		accepted, err = s.request(http.MethodPut, url, string(text), "Authorization", "Bearer "+demoToken, "If-Match", revision)
-		// Until the engines have told their memory, nothing can be checked.
+		// A document is refused until the engines have reported their memory, which
+		// it is checked against.
 		return accepted.status == http.StatusOK, err
 	})
 	if err != nil {
@@ -142,11 +146,11 @@
 		return err
 	}
 	fmt.Fprintf(s.to.Out, "accepted as revision %d, in force on %d of %d hosts after %s\n",
-		answer.Revision, status.InForce, status.LiveHosts, time.Since(begun).Round(time.Millisecond))
+		answer.Revision, status.InForce, status.LiveHosts, time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
-// demoStatus is the part of the status that the demo looks at.
+// demoStatus is the part of /admin/status that the demo reads.
 type demoStatus struct {
 	Revision  int64
 	InForce   int
@@ -159,16 +163,16 @@
 	Moves map[string]int
 }
 
-func (s *show) status(host int) (demoStatus, error) {
+func (s *demoRun) status(host int) (demoStatus, error) {
 	var status demoStatus
-	got, err := s.request(http.MethodGet, s.operators(host, "/admin/status"), "", "Authorization", "Bearer "+demoToken)
+	got, err := s.request(http.MethodGet, s.operatorURL(host, "/admin/status"), "", "Authorization", "Bearer "+demoToken)
 	if err != nil {
 		return status, err
 	}
 	return status, errors.Wrap(json.Unmarshal(got.body, &status), "status")
 }
 
-func (s *show) waitInForce(revision int64) (demoStatus, error) {
+func (s *demoRun) waitInForce(revision int64) (demoStatus, error) {
 	var status demoStatus
 	err := s.until(func() (bool, error) {
 		got, err := s.status(0)
@@ -178,16 +182,16 @@
 	return status, err
 }
 
-func (s *show) declareAndWait() error {
+func (s *demoRun) declareAndWait() error {
 	if err := s.declare(); err != nil {
 		return err
 	}
 	return s.waitReady()
 }
 
-// waitReady waits until every model of the document is ready in its version.
-func (s *show) waitReady() error {
-	begun := time.Now()
+// waitReady waits until every model of the document has a ready replica of its version.
+func (s *demoRun) waitReady() error {
+	started := time.Now()
 	err := s.until(func() (bool, error) {
 		status, err := s.status(0)
 		if err != nil || len(status.Models) != len(s.document.Models) {
@@ -200,7 +204,7 @@
 		}
 		return true, nil
 	})
-	fmt.Fprintf(s.to.Out, "%d models ready after %s\n", len(s.document.Models), time.Since(begun).Round(time.Millisecond))
+	fmt.Fprintf(s.to.Out, "%d models ready after %s\n", len(s.document.Models), time.Since(started).Round(time.Millisecond))
 	return err
 }
 
@@ -208,18 +212,18 @@
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":6,"messages":[{"role":"user","content":"Drift over Crozon at 18:00?"}]}`, model, stream)
 }
 
-func (s *show) askBriefing() error {
+func (s *demoRun) requestBriefings() error {
 	for i, stream := range []bool{false, true} {
 		model := string(s.document.Models[0].Name)
-		begun := time.Now()
-		got, err := s.request(http.MethodPost, s.callers(i, caller.PathChat), chatBody(model, stream))
+		started := time.Now()
+		got, err := s.request(http.MethodPost, s.callerURL(i, caller.PathChat), chatBody(model, stream))
 		if err != nil {
 			return err
 		}
 		if got.status != http.StatusOK {
 			return errors.Errorf("found %d, expected an answer: %s", got.status, got.body)
 		}
-		fmt.Fprintf(s.to.Out, "entry-%d, stream %t, %s:\n%s\n", i+1, stream, time.Since(begun).Round(time.Millisecond), indent(got.body))
+		fmt.Fprintf(s.to.Out, "entry-%d, stream %t, %s:\n%s\n", i+1, stream, time.Since(started).Round(time.Millisecond), indent(got.body))
 	}
 	return nil
 }
@@ -228,10 +232,10 @@
 	return "  " + strings.ReplaceAll(strings.TrimSpace(string(text)), "\n", "\n  ")
 }
 
-func (s *show) dispatchBoat() error {
+func (s *demoRun) dispatchBoat() error {
 	key := string(ident.NewRequestID())
 	for i := range demoHosts {
-		got, err := s.request(http.MethodPost, s.callers(i, "/services/boat-dispatch/boats/7"), `{"to":"Ouessant"}`, caller.HeaderIdempotencyKey, key)
+		got, err := s.request(http.MethodPost, s.callerURL(i, "/services/boat-dispatch/boats/7"), `{"to":"Ouessant"}`, caller.HeaderIdempotencyKey, key)
 		if err != nil {
 			return err
 		}
@@ -244,8 +248,8 @@
 	return nil
 }
 
-func (s *show) refuse() error {
-	got, err := s.request(http.MethodPost, s.callers(0, caller.PathChat), chatBody("no-such-model", false))
+func (s *demoRun) showRefusal() error {
+	got, err := s.request(http.MethodPost, s.callerURL(0, caller.PathChat), chatBody("no-such-model", false))
 	if err != nil {
 		return err
 	}
@@ -253,7 +257,7 @@
 	return nil
 }
 
-func (s *show) edit() error {
+func (s *demoRun) showEdit() error {
 	model := &s.document.Models[0]
 	model.Version += "-next"
 	fmt.Fprintf(s.to.Out, "model %s goes to version %s\n", model.Name, model.Version)
@@ -261,7 +265,7 @@
 		return err
 	}
 	return s.until(func() (bool, error) {
-		got, err := s.request(http.MethodPost, s.callers(1, caller.PathChat), chatBody(string(model.Name), false))
+		got, err := s.request(http.MethodPost, s.callerURL(1, caller.PathChat), chatBody(string(model.Name), false))
 		if err != nil || got.status != http.StatusOK {
 			return false, err
 		}
@@ -273,8 +277,8 @@
 	})
 }
 
-func (s *show) report() error {
-	got, err := s.request(http.MethodGet, s.operators(0, "/admin/burn?format=text"), "", "Authorization", "Bearer "+demoToken)
+func (s *demoRun) showReport() error {
+	got, err := s.request(http.MethodGet, s.operatorURL(0, "/admin/burn?format=text"), "", "Authorization", "Bearer "+demoToken)
 	if err != nil {
 		return err
 	}
--- a/internal/command/cicadaloom/document.go
+++ b/internal/command/cicadaloom/document.go
@@ -42,29 +42,29 @@
 	})
 }
 
-// documentFlags are the flags of the command.
+// documentFlags are the flags of the document command.
 type documentFlags struct {
 	client   *client
 	team     string
 	revision int64
-	edit     string
-	again    bool
+	editID   string
+	isRetry  bool
 }
 
 func prepareDocument(flags *flag.FlagSet) program.Runner {
 	f := documentFlags{
-		client: clientFlags(flags),
+		client: declareClientFlags(flags),
 	}
 	flags.StringVar(&f.team, "team", "", "the `name` of the team")
 	flags.Int64Var(&f.revision, "revision", -1, "the `revision` that a put starts from")
-	flags.StringVar(&f.edit, "edit", "", "the `id` of the edit; one is made where none is given")
-	flags.BoolVar(&f.again, "again", false, "the edit of this id may have been put before")
+	flags.StringVar(&f.editID, "edit", "", "the `id` of the edit; one is made where none is given")
+	flags.BoolVar(&f.isRetry, "again", false, "the edit of this id may have been put before")
 	return func(_ context.Context, to program.Streams, args []string) error {
 		if len(args) == 0 {
 			return program.BadInput("arguments: found none, allowed list, get, put or history")
 		}
 		action := args[0]
-		// Flags may stand behind the action as well, where people write them.
+		// Flags may also follow the action, so the rest is parsed again.
 		if err := flags.Parse(args[1:]); err != nil {
 			return program.BadInput("%v", err)
 		}
@@ -79,19 +79,19 @@
 	path := "/admin/documents/" + url.PathEscape(f.team)
 	switch action {
 	case "list":
-		return f.show(to, "/admin/documents")
+		return f.writeReply(to, "/admin/documents")
 	case "get":
-		return f.get(to, path)
+		return f.printDocument(to, path)
 	case "history":
-		return f.show(to, path+"/history")
+		return f.writeReply(to, path+"/history")
 	case "put":
-		return f.put(to, path, args)
+		return f.putDocument(to, path, args)
 	default:
 		return program.BadInput("arguments: found %q, allowed list, get, put or history", action)
 	}
 }
 
-func (f *documentFlags) show(to program.Streams, path string) error {
+func (f *documentFlags) writeReply(to program.Streams, path string) error {
 	got, err := f.client.get(path)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return err
 }
 
-func (f *documentFlags) get(to program.Streams, path string) error {
+func (f *documentFlags) printDocument(to program.Streams, path string) error {
 	got, err := f.client.get(path)
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 	return err
 }
 
-func (f *documentFlags) put(to program.Streams, path string, args []string) error {
+func (f *documentFlags) putDocument(to program.Streams, path string, args []string) error {
 	if len(args) != 1 || f.revision < 0 {
 		return program.BadInput("found -revision %d and arguments %q, allowed the revision that the edit starts from and one file", f.revision, args)
 	}
@@ -118,18 +118,18 @@
 	if err != nil {
 		return program.BadInput("%v", err)
 	}
-	if f.edit == "" {
-		f.edit = string(ident.NewEditID())
+	if f.editID == "" {
+		f.editID = string(ident.NewEditID())
 	}
 	header := http.Header{}
 	header.Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(f.revision)))
-	header.Set(operator.HeaderEditID, f.edit)
-	if f.again {
+	header.Set(operator.HeaderEditID, f.editID)
+	if f.isRetry {
 		header.Set(operator.HeaderResubmitted, "true")
 	}
 	got, err := f.client.call(http.MethodPut, path, header, text)
 	if err != nil {
-		return badAnswer(err, f.edit)
+		return unknownOutcome(err, f.editID)
 	}
 	if err := got.failure(); err != nil {
 		return err
@@ -138,6 +138,7 @@
 	return err
 }
 
-func badAnswer(err error, edit string) error {
-	return errors.WithMessagef(err, "the edit may have been accepted: put it again with -edit %s -again", edit)
+// unknownOutcome adds to an error how to repeat an edit that may have been accepted.
+func unknownOutcome(err error, editID string) error {
+	return errors.WithMessagef(err, "the edit may have been accepted: put it again with -edit %s -again", editID)
 }
--- a/internal/command/cicadaloom/drain.go
+++ b/internal/command/cicadaloom/drain.go
@@ -32,7 +32,7 @@
 }
 
 func prepareDrain(flags *flag.FlagSet) program.Runner {
-	c := clientFlags(flags)
+	c := declareClientFlags(flags)
 	back := flags.Bool("back", false, "take a drain back")
 	return func(_ context.Context, to program.Streams, _ []string) error {
 		method := http.MethodPost
--- a/internal/command/cicadaloom/explain.go
+++ b/internal/command/cicadaloom/explain.go
@@ -34,7 +34,7 @@
 }
 
 func prepareExplain(flags *flag.FlagSet) program.Runner {
-	c := clientFlags(flags)
+	c := declareClientFlags(flags)
 	format := flags.String("format", "text", "the answer's `form`: text or json")
 	limit := flags.Int("limit", 50, "the most `decisions` to show")
 	return func(_ context.Context, to program.Streams, args []string) error {
--- a/internal/command/cicadaloom/gateway.go
+++ b/internal/command/cicadaloom/gateway.go
@@ -43,7 +43,7 @@
 
 func prepareGateway(flags *flag.FlagSet) program.Runner {
 	file := flags.String("settings", os.Getenv(settingsVariable), "the settings `file` of this host; the default is in "+settingsVariable)
-	check := flags.Bool("check", false, "only check the settings")
+	checkOnly := flags.Bool("check", false, "only check the settings")
 	return func(ctx context.Context, _ program.Streams, _ []string) error {
 		if *file == "" {
 			return program.BadInput("-settings: found none, allowed a settings file")
@@ -52,22 +52,23 @@
 		if err != nil {
 			return program.BadInput("%v", err)
 		}
-		if *check {
+		if *checkOnly {
 			return nil
 		}
 		return runGateway(ctx, *file, loaded)
 	}
 }
 
-// settingsVariable names the environment variable with the settings file's path.
+// settingsVariable is the environment variable with the path of the settings file.
 const settingsVariable = "CICADALOOM_SETTINGS"
 
 const (
-	// memoryShare is the part of its memory that the program's heap may grow to
-	// before it is collected more often.
-	memoryShare = 0.5
-	// collectAt is how much the heap grows between collections, in percent.
-	collectAt = 50
+	// memoryLimitShare is the part of the host's memory that is set as the Go runtime's soft
+	// memory limit; near it, garbage is collected more often.
+	memoryLimitShare = 0.5
+	// gcPercent is the garbage collector's target (GOGC): how much the heap grows
+	// between collections, in percent.
+	gcPercent = 50
 )
 
 func runGateway(ctx context.Context, file string, loaded settings.Settings) error {
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// stopBySignal waits for the signal to stop, and stops the host.
+// stopBySignal handles signals until one to stop arrives, then stops the host. SIGHUP
+// reloads the settings.
 func stopBySignal(ctx context.Context, signals <-chan os.Signal, log *zap.Logger, running *gateway.Gateway, file string) {
 	for received := range signals {
 		if received == syscall.SIGHUP {
@@ -121,7 +123,8 @@
 	}
 }
 
-// reload reads the settings again. Bad settings change nothing.
+// reload reads the settings file again and applies its seeds. If the file is invalid,
+// nothing changes.
 func reload(log *zap.Logger, running *gateway.Gateway, file string) {
 	loaded, err := settings.Load(file)
 	if err != nil {
@@ -133,6 +136,6 @@
 }
 
 func limitMemory(limit unit.Bytes) {
-	debug.SetMemoryLimit(int64(float64(limit) * memoryShare))
-	debug.SetGCPercent(collectAt)
+	debug.SetMemoryLimit(int64(float64(limit) * memoryLimitShare))
+	debug.SetGCPercent(gcPercent)
 }
--- a/internal/command/cicadaloom/log.go
+++ b/internal/command/cicadaloom/log.go
@@ -11,10 +11,10 @@
 	"cicadaloom/internal/config/settings"
 )
 
-// newLog makes the log of an entry host. Every line has the host and its data
-// centre; names in it are in Pascal case, as in all of the project's formats.
-func newLog(host *settings.Host, least settings.Level, out zapcore.WriteSyncer) (*zap.Logger, error) {
-	level, err := zapcore.ParseLevel(strings.ToLower(string(least)))
+// newLog returns the logger of an entry host. Every line has the host and its data
+// centre; field names are in Pascal case, as in all of the project's formats.
+func newLog(host *settings.Host, minLevel settings.Level, out zapcore.WriteSyncer) (*zap.Logger, error) {
+	level, err := zapcore.ParseLevel(strings.ToLower(string(minLevel)))
 	if err != nil {
 		return nil, errors.Wrap(err, "log level")
 	}
@@ -29,9 +29,9 @@
 	return zap.New(core).With(zap.String("Host", string(host.Name)), zap.String("DataCentre", string(host.DataCentre))), nil
 }
 
-// plainErrors writes an error as its text under a name in Pascal case. By itself
-// zap names it in lower case and adds the stack that pkg/errors keeps: kilobytes
-// with the build machine's paths, in every line about a lost attempt.
+// plainErrors writes an error field as its text under the name "Error". By default
+// zap names it in lower case and adds the stack trace of pkg/errors: kilobytes with
+// the build machine's paths in every line about a lost attempt.
 type plainErrors struct {
 	zapcore.Core
 }
@@ -43,7 +43,8 @@
 	}
 }
 
-// Check implements zapcore.Core: it is this core that has to write.
+// Check implements zapcore.Core. It adds plainErrors itself, not the embedded core,
+// whose Write would bypass the conversion.
 func (c plainErrors) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(entry.Level) {
 		return checked.AddCore(entry, c)
--- a/internal/command/cicadaloom/report.go
+++ b/internal/command/cicadaloom/report.go
@@ -31,7 +31,7 @@
 }
 
 func prepareReport(flags *flag.FlagSet) program.Runner {
-	c := clientFlags(flags)
+	c := declareClientFlags(flags)
 	format := flags.String("format", "text", "the report's `form`: text, json or html")
 	return func(_ context.Context, to program.Streams, _ []string) error {
 		if *format != "text" && *format != "json" && *format != "html" {
--- a/internal/command/cicadaloom/status.go
+++ b/internal/command/cicadaloom/status.go
@@ -24,7 +24,7 @@
 }
 
 func prepareStatus(flags *flag.FlagSet) program.Runner {
-	c := clientFlags(flags)
+	c := declareClientFlags(flags)
 	return func(_ context.Context, to program.Streams, _ []string) error {
 		got, err := c.get("/admin/status")
 		if err != nil {
