--- a/internal/command/standin/administered.go
+++ b/internal/command/standin/admin.go
@@ -12,32 +12,33 @@
 	tomb "gopkg.in/tomb.v2"
 )
 
-// administered are the flags of stand-ins that don't speak HTTP themselves:
-// their switch has an address of its own.
-type administered struct {
-	common
+// adminFlags are the flags of stand-ins whose own protocol is not HTTP: their fault
+// switches are served over HTTP at an address of their own.
+type adminFlags struct {
+	commonFlags
 	admin string
 }
 
-func (a *administered) declare(flags *flag.FlagSet) {
-	a.common.declare(flags)
+func (a *adminFlags) declare(flags *flag.FlagSet) {
+	a.commonFlags.declare(flags)
 	flags.StringVar(&a.admin, "admin", defaultListen, "`address` of the fault switches")
 }
 
-// handledSwitch is a switch that HTTP reaches.
-type handledSwitch interface {
-	faultSwitch
+// faultHandler is a set of fault switches with an HTTP handler.
+type faultHandler interface {
+	faultSwitches
 	http.Handler
 }
 
-func (a *administered) serve(ctx context.Context, stdout io.Writer, p process, faults handledSwitch) error {
+// serve runs a stand-in and the server of its fault switches until the context ends.
+func (a *adminFlags) serve(ctx context.Context, stdout io.Writer, p standIn, faults faultHandler) error {
 	address, err := a.start(p, faults)
 	if err != nil {
 		return err
 	}
 	admin, err := net.Listen("tcp", a.admin)
 	if err != nil {
-		_ = p.Stop() // the first failure is the one to tell
+		_ = p.Stop() // the first error is the one to return
 		return errors.Wrap(err, "-admin")
 	}
 	server := http.Server{
--- a/internal/command/standin/amount.go
+++ b/internal/command/standin/bytes.go
@@ -10,7 +10,7 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// units has the longer suffixes first, since all end in B.
+// units are in matching order: B is last, since all suffixes end in B.
 var units = []struct {
 	suffix string
 	size   unit.Bytes
@@ -21,7 +21,8 @@
 	{suffix: "B", size: unit.Byte},
 }
 
-func parseAmount(text string) (unit.Bytes, error) {
+// parseBytes parses a whole number with a unit, such as 80GiB.
+func parseBytes(text string) (unit.Bytes, error) {
 	for _, known := range units {
 		number, found := strings.CutSuffix(text, known.suffix)
 		if !found {
--- a/internal/command/standin/engine.go
+++ b/internal/command/standin/engine.go
@@ -33,12 +33,12 @@
 }
 
 func prepareEngine(flags *flag.FlagSet) program.Runner {
-	var process listed
-	process.declare(flags, "engine")
+	var f listedFlags
+	f.declare(flags, "engine")
 	options := engine.Options{
 		Memory: engine.DefaultMemory,
 	}
-	flags.Var((*amount)(&options.Memory), "memory", "accelerator memory, as `80GiB`")
+	flags.Var((*bytesFlag)(&options.Memory), "memory", "accelerator memory, as `80GiB`")
 	flags.IntVar(&options.Slots, "slots", engine.DefaultSlots, "requests that run at once")
 	flags.IntVar(&options.QueueLimit, "queue", engine.DefaultQueueLimit, "requests that wait at most")
 	flags.DurationVar(&options.FirstTokenTime, "first-token", engine.DefaultFirstTokenTime, "time to the first token")
@@ -50,28 +50,29 @@
 	flags.BoolVar(&options.IgnoreFencing, "ignore-fencing", false, "take orders whatever their fencing number")
 	flags.DurationVar(&options.RestartAfter, "restart-after", engine.DefaultRestartAfter, "time away after a crash")
 	return func(ctx context.Context, to program.Streams, _ []string) error {
-		options.Name = ident.ServerName(process.name)
+		options.Name = ident.ServerName(f.name)
 		e := engine.New(options)
-		return process.serveListed(ctx, to.Out, e, &e.Faults, backend.Server{
+		return f.serveListed(ctx, to.Out, e, &e.Faults, backend.Server{
 			Kind: backend.KindEngine,
 		})
 	}
 }
 
-// amount is a flag of memory.
-type amount unit.Bytes
+// bytesFlag is a flag value: a number of bytes with a unit.
+type bytesFlag unit.Bytes
 
-// String gives the amount as unit.Bytes does.
-func (a *amount) String() string {
+// String implements flag.Value.
+func (a *bytesFlag) String() string {
 	return unit.Bytes(*a).String()
 }
 
-// Set reads a whole number with one of the units B, KiB, MiB, GiB.
-func (a *amount) Set(text string) error {
-	parsed, err := parseAmount(text)
+// Set implements flag.Value: it parses a whole number with one of the units B, KiB,
+// MiB, GiB.
+func (a *bytesFlag) Set(text string) error {
+	parsed, err := parseBytes(text)
 	if err != nil {
 		return err
 	}
-	*a = amount(parsed)
+	*a = bytesFlag(parsed)
 	return nil
 }
--- a/internal/command/standin/etcd.go
+++ b/internal/command/standin/etcd.go
@@ -27,36 +27,36 @@
 }
 
 func prepareEtcd(flags *flag.FlagSet) program.Runner {
-	var process administered
-	process.declare(flags)
+	var f adminFlags
+	f.declare(flags)
 	var options etcd.Options
 	flags.IntVar(&options.WritesPerSecond, "writes", 0, "`writes` a second that are carried out; 0 takes the default")
 	flags.IntVar(&options.ReadsPerSecond, "reads", 0, "`reads` a second that are carried out; 0 takes the default")
 	return func(ctx context.Context, to program.Streams, _ []string) error {
 		server := etcd.New(options)
-		return process.serve(ctx, to.Out, etcdProcess{
+		return f.serve(ctx, to.Out, etcdStandIn{
 			Server: server,
-		}, etcdSwitch{
+		}, etcdFaults{
 			Server:  server,
 			Handler: server.AdminHandler(),
 		})
 	}
 }
 
-// etcdSwitch is the switch of the key-value service's stand-in, with its
-// statistics beside it.
-type etcdSwitch struct {
+// etcdFaults has the fault switches of the key-value service's stand-in; its handler
+// also serves the statistics.
+type etcdFaults struct {
 	*etcd.Server
 	http.Handler
 }
 
-// etcdProcess gives its address as the other stand-ins do.
-type etcdProcess struct {
+// etcdStandIn adapts etcd.Server to standIn: Start returns the address as a string.
+type etcdStandIn struct {
 	*etcd.Server
 }
 
-// Start implements process.
-func (p etcdProcess) Start(listen string) (string, error) {
+// Start implements standIn.
+func (p etcdStandIn) Start(listen string) (string, error) {
 	address, err := p.Server.Start(listen)
 	if err != nil {
 		return "", err
--- a/internal/command/standin/hostlist.go
+++ b/internal/command/standin/hostlist.go
@@ -27,12 +27,12 @@
 }
 
 func prepareHostlist(flags *flag.FlagSet) program.Runner {
-	var process common
-	process.declare(flags)
+	var f commonFlags
+	f.declare(flags)
 	var options hostlist.Options
 	flags.DurationVar(&options.Lag, "lag", 0, "how old the served list is")
 	return func(ctx context.Context, to program.Streams, _ []string) error {
 		list := hostlist.New(options)
-		return process.serve(ctx, to.Out, list, &list.Faults)
+		return f.serve(ctx, to.Out, list, &list.Faults)
 	}
 }
--- a/internal/command/standin/plain.go
+++ b/internal/command/standin/plain.go
@@ -28,8 +28,8 @@
 }
 
 func preparePlain(flags *flag.FlagSet) program.Runner {
-	var process listed
-	process.declare(flags, "plain")
+	var f listedFlags
+	f.declare(flags, "plain")
 	var options plain.Options
 	var service string
 	flags.StringVar(&service, "service", "plain", "`name` of the service in the host list")
@@ -38,7 +38,7 @@
 	flags.DurationVar(&options.WorkTime, "work", plain.DefaultWorkTime, "time that a request takes")
 	return func(ctx context.Context, to program.Streams, _ []string) error {
 		p := plain.New(options)
-		return process.serveListed(ctx, to.Out, p, &p.Faults, backend.Server{
+		return f.serveListed(ctx, to.Out, p, &p.Faults, backend.Server{
 			Kind:    backend.KindService,
 			Service: ident.ServiceName(service),
 		})
--- a/internal/command/standin/relay.go
+++ b/internal/command/standin/relay.go
@@ -25,12 +25,12 @@
 }
 
 func prepareRelay(flags *flag.FlagSet) program.Runner {
-	var process administered
-	process.declare(flags)
+	var f adminFlags
+	f.declare(flags)
 	var options relay.Options
 	flags.StringVar(&options.Target, "target", "", "`address` to carry connections to")
 	return func(ctx context.Context, to program.Streams, _ []string) error {
 		r := relay.New(options)
-		return process.serve(ctx, to.Out, r, &r.Faults)
+		return f.serve(ctx, to.Out, r, &r.Faults)
 	}
 }
--- a/internal/command/standin/standin.go
+++ b/internal/command/standin/standin.go
@@ -1,5 +1,7 @@
-// Package standin is the command line of the platform's stand-ins. Each command
-// is one stand-in as a process.
+// Package standin is the command line of the platform's stand-ins: servers that take
+// the place of the key-value service, host list, weight store, engines, plain services
+// and network in tests. Each command runs one stand-in as a process, and registers
+// itself in init.
 //
 // # Usage
 //
@@ -10,7 +12,8 @@
 //
 //	listening 127.0.0.1:40123
 //
-// and ends at SIGTERM or SIGINT when its requests in flight have ended.
+// (with a second field "admin=ADDRESS" where the fault switches have an address of their
+// own), and after SIGTERM or SIGINT it exits once its requests in flight have ended.
 package standin
 
 import (
@@ -28,14 +31,15 @@
 	About: "takes the place of one part of the platform",
 }
 
-// Main runs the command line of the process and gives the exit code.
+// Main runs the command line of the process and returns the exit code. SIGTERM and
+// SIGINT end the context.
 func Main() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return Run(ctx, os.Args[1:], os.Stdout, os.Stderr)
 }
 
-// Run runs a command line until it is done or the context ends, and gives the
+// Run runs a command line until it is done or the context ends, and returns the
 // exit code.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
 	return commands.Run(ctx, arguments, stdout, stderr)
--- a/internal/command/standin/standin_test.go
+++ b/internal/command/standin/standin_test.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	patience = 10 * time.Second
-	tick     = 2 * time.Millisecond
+	waitTimeout  = 10 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
-// started is a command that runs until its stop.
-type started struct {
+// runningCommand is a command that runs in a goroutine until stop is called.
+type runningCommand struct {
 	tomb    tomb.Tomb
 	stop    context.CancelFunc
 	address string
 	status  int
 }
 
-func start(t *testing.T, arguments ...string) *started {
+func start(t *testing.T, arguments ...string) *runningCommand {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &started{
+	s := &runningCommand{
 		stop: cancel,
 	}
 	reader, writer := io.Pipe()
@@ -42,7 +42,7 @@
 		s.status = Run(ctx, arguments, writer, io.Discard)
 		return writer.Close()
 	})
-	t.Cleanup(func() { s.end(t) })
+	t.Cleanup(func() { s.stopAndCheck(t) })
 	line, err := bufio.NewReader(reader).ReadString('\n')
 	require.NoError(t, err)
 	address, found := strings.CutPrefix(strings.TrimSuffix(line, "\n"), "listening ")
@@ -51,13 +51,13 @@
 	return s
 }
 
-func (s *started) end(t *testing.T) {
+func (s *runningCommand) stopAndCheck(t *testing.T) {
 	s.stop()
 	require.NoError(t, s.tomb.Wait())
 	require.Equal(t, program.ExitOK, s.status)
 }
 
-func TestStandInsStandInTheHostList(t *testing.T) {
+func TestStandInsRegisterInHostList(t *testing.T) {
 	list := start(t, "hostlist")
 	client := hostlist.Client{
 		Address: list.address,
@@ -80,15 +80,15 @@
 		"plain ":        backend.StateLive,
 	}, states())
 	engine.stop()
-	require.Eventually(t, func() bool { return states()["gpu-1 brest-a"] == backend.StateLeaving }, patience, tick)
-	engine.end(t)
+	require.Eventually(t, func() bool { return states()["gpu-1 brest-a"] == backend.StateLeaving }, waitTimeout, pollInterval)
+	engine.stopAndCheck(t)
 	require.Equal(t, map[string]backend.State{
 		"plain ": backend.StateLive,
 	}, states())
 	start(t, "weights")
 }
 
-func TestWrongCommandLinesSaySo(t *testing.T) {
+func TestInvalidCommandLinesReportError(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestEachCommandHasItsHelpPage(t *testing.T) {
+func TestEveryCommandHasHelpPage(t *testing.T) {
 	for _, name := range commands.Names() {
 		var page bytes.Buffer
 		require.Equal(t, program.ExitOK, Run(context.Background(), []string{"help", name}, &page, io.Discard))
@@ -134,11 +134,11 @@
 	require.Contains(t, overview.String(), "hostlist")
 }
 
-func TestAmounts(t *testing.T) {
-	parsed, err := parseAmount("80GiB")
+func TestParseBytes(t *testing.T) {
+	parsed, err := parseBytes("80GiB")
 	require.NoError(t, err)
 	require.Equal(t, 80*unit.Gibibyte, parsed)
-	parsed, err = parseAmount("7B")
+	parsed, err = parseBytes("7B")
 	require.NoError(t, err)
 	require.Equal(t, 7*unit.Byte, parsed)
 }
--- a/internal/command/standin/weights.go
+++ b/internal/command/standin/weights.go
@@ -26,8 +26,8 @@
 }
 
 func prepareWeights(flags *flag.FlagSet) program.Runner {
-	var process common
-	process.declare(flags)
+	var f commonFlags
+	f.declare(flags)
 	var options weights.Options
 	flags.Float64Var(&options.LoadsPerSecond, "loads-per-second", weights.DefaultLoadsPerSecond, "model loads that the store gives a second")
 	flags.IntVar(&options.FullSpeedLoads, "at-once", weights.DefaultFullSpeedLoads, "model loads that go on at full speed")
@@ -36,6 +36,6 @@
 	flags.IntVar(&options.FullSpeedAdapterLoads, "adapters-at-once", weights.DefaultFullSpeedAdapterLoads, "adapters that go on at full speed")
 	return func(ctx context.Context, to program.Streams, _ []string) error {
 		store := weights.New(options)
-		return process.serve(ctx, to.Out, store, &store.Faults)
+		return f.serve(ctx, to.Out, store, &store.Faults)
 	}
 }
