--- a/cmd/cicadaloom/main.go
+++ b/cmd/cicadaloom/main.go
@@ -1,5 +1,5 @@
-// Command cicadaloom is the program that runs on every entry host, and the
-// operators' tool.
+// Command cicadaloom runs an entry host, and is the operators' command line client:
+// see internal/command/cicadaloom.
 package main
 
 import (
--- a/cmd/loadtool/main.go
+++ b/cmd/loadtool/main.go
@@ -1,5 +1,5 @@
-// Command loadtool asks entry hosts as callers would and measures the answers:
-// see internal/command/loadtool.
+// Command loadtool sends requests to entry hosts as callers do, and measures the
+// answers: see internal/command/loadtool.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin takes the place of one part of the platform in tests: see
-// internal/command/standin.
+// Command standin runs a stand-in for one part of the platform in tests, such as the
+// key-value service or an engine: see internal/command/standin.
 package main
 
 import (
