--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples has complete examples of documents and settings, so that
-// the demo runs what an operator can read and copy.
+// Package examples embeds the example team documents, the same files that operators
+// read and copy. The demo command runs one of them.
 //
 // # Usage
 //
