--- a/internal/config/teamdoc/check.go
+++ b/internal/config/teamdoc/check.go
@@ -15,9 +15,9 @@
 	}
 	checkClasses(d, path, faults)
 	owners := make(map[string]string)
-	for _, use := range names(d) {
+	for _, use := range listNameUses(d) {
 		if use.name == "" {
-			continue // its own fault is noted already
+			continue // the member table has already reported this fault
 		}
 		if owner, taken := owners[use.name]; taken {
 			faults.Add(jsonfile.Join(path, use.path), strconv.Quote(use.name), "a name other than that of "+owner)
@@ -61,14 +61,16 @@
 	}
 }
 
-// nameUse is one place where a document uses a name that callers ask by.
+// nameUse is a model, adapter or service name that callers send in requests, with
+// its path in the document.
 type nameUse struct {
 	name string
 	path string
 }
 
-// names gives all names that callers ask by, in the order of the document.
-func names(d *document.Document) []nameUse {
+// listNameUses returns the names of all models, adapters and services in the
+// order of the document.
+func listNameUses(d *document.Document) []nameUse {
 	var result []nameUse
 	for i := range d.Models {
 		model := &d.Models[i]
--- a/internal/config/teamdoc/table.go
+++ b/internal/config/teamdoc/table.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	longestName     = 64
-	longestTeam     = 63
-	maxModels       = 2000
-	maxAdapters     = 2000
-	maxServices     = 500
-	maxClasses      = 16
-	maxReplicas     = 1000
-	maxModelMemory  = 4096 * unit.Gibibyte
-	longestPromise  = 10 * time.Minute
-	shortestPromise = time.Millisecond
+	maxNameBytes     = 64
+	maxTeamNameBytes = 63
+	maxModels        = 2000
+	maxAdapters      = 2000
+	maxServices      = 500
+	maxClasses       = 16
+	maxReplicas      = 1000
+	maxModelMemory   = 4096 * unit.Gibibyte
+	maxPromise       = 10 * time.Minute
+	minPromise       = time.Millisecond
 )
 
-// Names stand in URLs, keys of the key-value service and metrics: no slash, no
-// space, nothing to escape. A team's name is also a host name's label.
+// Names are part of URLs, keys of the key-value service and metrics, so they have
+// no slash, space or character that needs escaping. A team's name is also a label
+// of a host name.
 var (
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9._-]*[A-Za-z0-9])?$`)
 	teamPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?$`)
 )
 
-func name[S ~string]() jsonfile.Text[S] {
+func nameCodec[S ~string]() jsonfile.Text[S] {
 	return jsonfile.Text[S]{
-		Max:     longestName,
+		Max:     maxNameBytes,
 		Pattern: namePattern,
 		Form:    "a name of letters, digits and . _ - that starts and ends with a letter or digit,",
 	}
 }
 
-var teamName = jsonfile.Text[ident.TeamName]{
-	Max:     longestTeam,
+var teamNameCodec = jsonfile.Text[ident.TeamName]{
+	Max:     maxTeamNameBytes,
 	Pattern: teamPattern,
 	Form:    "a name of a-z, 0-9 and - that starts and ends with a letter or digit,",
 }
 
 var documentTable = jsonfile.Object[document.Document]{
 	Members: []jsonfile.Member[document.Document]{
-		jsonfile.Need("Team", func(d *document.Document) *ident.TeamName { return &d.Team }, teamName,
+		jsonfile.Need("Team", func(d *document.Document) *ident.TeamName { return &d.Team }, teamNameCodec,
 			"The team that owns the document."),
 		jsonfile.Need("Classes", func(d *document.Document) *[]document.Class { return &d.Classes },
 			jsonfile.List[document.Class]{
@@ -56,7 +57,7 @@
 				Max:  maxClasses,
 			},
 			"The classes of callers, the first coming first."),
-		jsonfile.Need("DefaultClass", func(d *document.Document) *ident.ClassName { return &d.DefaultClass }, name[ident.ClassName](),
+		jsonfile.Need("DefaultClass", func(d *document.Document) *ident.ClassName { return &d.DefaultClass }, nameCodec[ident.ClassName](),
 			"The class of callers that name none: one of Classes."),
 		jsonfile.May("Models", func(d *document.Document) *[]document.Model { return &d.Models },
 			jsonfile.List[document.Model]{
@@ -76,7 +77,7 @@
 
 var classTable = jsonfile.Object[document.Class]{
 	Members: []jsonfile.Member[document.Class]{
-		jsonfile.Need("Name", func(c *document.Class) *ident.ClassName { return &c.Name }, name[ident.ClassName](),
+		jsonfile.Need("Name", func(c *document.Class) *ident.ClassName { return &c.Name }, nameCodec[ident.ClassName](),
 			"The name by which callers say their class."),
 		jsonfile.Need("Share", func(c *document.Class) *int { return &c.Share },
 			jsonfile.Integer[int]{
@@ -87,12 +88,12 @@
 	},
 }
 
-// MayRepeat has no default: whoever declares a model has to think of it.
+// MayRepeat has no default, so that every declaration of a model decides it.
 var modelTable = jsonfile.Object[document.Model]{
 	Members: []jsonfile.Member[document.Model]{
-		jsonfile.Need("Name", func(m *document.Model) *ident.ModelName { return &m.Name }, name[ident.ModelName](),
+		jsonfile.Need("Name", func(m *document.Model) *ident.ModelName { return &m.Name }, nameCodec[ident.ModelName](),
 			"The name by which callers ask for the model; no other model, adapter or service of any team has it."),
-		jsonfile.Need("Version", func(m *document.Model) *ident.Version { return &m.Version }, name[ident.Version](),
+		jsonfile.Need("Version", func(m *document.Model) *ident.Version { return &m.Version }, nameCodec[ident.Version](),
 			"The version of the weights."),
 		jsonfile.Need("Memory", func(m *document.Model) *unit.Bytes { return &m.Memory },
 			jsonfile.Bytes{
@@ -100,9 +101,9 @@
 				Max: maxModelMemory,
 			},
 			"What one replica takes on a backend server, without its adapters."),
-		jsonfile.Need("Replicas", func(m *document.Model) *int { return &m.Replicas }, replicas(),
+		jsonfile.Need("Replicas", func(m *document.Model) *int { return &m.Replicas }, replicasCodec(),
 			"The least number of replicas, each on a server of its own."),
-		jsonfile.Need("MaxReplicas", func(m *document.Model) *int { return &m.MaxReplicas }, replicas(),
+		jsonfile.Need("MaxReplicas", func(m *document.Model) *int { return &m.MaxReplicas }, replicasCodec(),
 			"The greatest number of replicas; at least Replicas."),
 		jsonfile.Need("MayRepeat", func(m *document.Model) *bool { return &m.MayRepeat }, jsonfile.Flag{},
 			"Whether running a request twice does no harm; false makes each request run at most once."),
@@ -118,7 +119,7 @@
 	Check: checkModel,
 }
 
-func replicas() jsonfile.Integer[int] {
+func replicasCodec() jsonfile.Integer[int] {
 	return jsonfile.Integer[int]{
 		Min: 1,
 		Max: maxReplicas,
@@ -127,9 +128,9 @@
 
 var adapterTable = jsonfile.Object[document.Adapter]{
 	Members: []jsonfile.Member[document.Adapter]{
-		jsonfile.Need("Name", func(a *document.Adapter) *ident.AdapterName { return &a.Name }, name[ident.AdapterName](),
+		jsonfile.Need("Name", func(a *document.Adapter) *ident.AdapterName { return &a.Name }, nameCodec[ident.AdapterName](),
 			"The name by which callers ask for the adapter; no other model, adapter or service of any team has it."),
-		jsonfile.Need("Version", func(a *document.Adapter) *ident.Version { return &a.Version }, name[ident.Version](),
+		jsonfile.Need("Version", func(a *document.Adapter) *ident.Version { return &a.Version }, nameCodec[ident.Version](),
 			"The version of the adapter's weights."),
 		jsonfile.Need("Memory", func(a *document.Adapter) *unit.Bytes { return &a.Memory },
 			jsonfile.Bytes{
@@ -140,33 +141,33 @@
 	},
 }
 
-func promise(low time.Duration) jsonfile.Duration {
+func promiseCodec(low time.Duration) jsonfile.Duration {
 	return jsonfile.Duration{
 		Min: low,
-		Max: longestPromise,
+		Max: maxPromise,
 	}
 }
 
 var modelPromiseTable = jsonfile.Object[document.Promise]{
 	Members: []jsonfile.Member[document.Promise]{
-		jsonfile.Need("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promise(shortestPromise),
+		jsonfile.Need("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promiseCodec(minPromise),
 			"The promised time to the first token."),
-		jsonfile.Need("BetweenTokens", func(p *document.Promise) *time.Duration { return &p.BetweenTokens }, promise(shortestPromise),
+		jsonfile.Need("BetweenTokens", func(p *document.Promise) *time.Duration { return &p.BetweenTokens }, promiseCodec(minPromise),
 			"The promised time between two tokens."),
 	},
 }
 
 var servicePromiseTable = jsonfile.Object[document.Promise]{
 	Members: []jsonfile.Member[document.Promise]{
-		jsonfile.Need("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promise(shortestPromise),
+		jsonfile.Need("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promiseCodec(minPromise),
 			"The promised time to the service's whole answer."),
 	},
 }
 
-// ForbidRepeat has no default, for the reason that MayRepeat has none.
+// ForbidRepeat has no default, so that every declaration of a service decides it.
 var serviceTable = jsonfile.Object[document.Service]{
 	Members: []jsonfile.Member[document.Service]{
-		jsonfile.Need("Name", func(s *document.Service) *ident.ServiceName { return &s.Name }, name[ident.ServiceName](),
+		jsonfile.Need("Name", func(s *document.Service) *ident.ServiceName { return &s.Name }, nameCodec[ident.ServiceName](),
 			"The name by which callers ask for the service; no other model, adapter or service of any team has it."),
 		jsonfile.Need("ForbidRepeat", func(s *document.Service) *[]string { return &s.ForbidRepeat },
 			jsonfile.List[string]{
--- a/internal/config/teamdoc/teamdoc.go
+++ b/internal/config/teamdoc/teamdoc.go
@@ -1,28 +1,29 @@
-// Package teamdoc reads, checks and writes team documents, and checks all
-// documents together.
+// Package teamdoc reads, validates and writes team documents, and validates the
+// documents of all teams against each other and the available accelerator memory.
 //
-// A document is refused as a whole: with any fault nothing of it comes into
-// force, and the error lists every fault with the path of the field, what was
-// found and what is allowed.
+// Read and Write check one document, CheckAll checks the set. A document with any
+// fault is refused as a whole, and the error lists every fault with the path of
+// the field, what was found and what is allowed. The functions keep no state and
+// may be called concurrently.
 //
 // # Usage
 //
 //	doc, err := teamdoc.Read(text)
 //	if err != nil {
-//		// errors.As(err, *jsonfile.Faults) has the faults one by one
+//		// errors.As with a *jsonfile.Faults gives access to the single faults
 //	}
 //	all[doc.Team] = doc
-//	if faults := teamdoc.CheckTogether(all, servers); len(faults) > 0 {
-//		// each document is sound, but not all of them at once
+//	if faults := teamdoc.CheckAll(all, servers); len(faults) > 0 {
+//		// each document is valid, but they conflict or do not fit the servers
 //	}
 //	text = teamdoc.Write(doc) // canonical: Read(Write(doc)) equals doc
 //
 // # Format
 //
-// JSON with the Pascal case names of package document. Amounts of memory are
-// written as "20GiB", promised times as "1.6s". A text has at most MaxSize
-// bytes, so that a document and its history each fit a value of the platform's
-// key-value service.
+// A document is JSON with the member names of the structs of package document.
+// Amounts of memory are written as "20GiB", promised times as "1.6s". The text has
+// at most MaxSizeBytes bytes, so that a document and its history each fit one value
+// of the platform's key-value service.
 package teamdoc
 
 import (
@@ -32,18 +33,18 @@
 	"cicadaloom/internal/domain/document"
 )
 
-// MaxSize is the greatest size of a document's text in bytes: a quarter of what
-// the key-value service takes as one value. The rest is room for the wrapper
-// around it, and for several versions in the document's history.
-const MaxSize = 256 << 10
+// MaxSizeBytes is the greatest size of a document's text: a quarter of the largest
+// value that the key-value service accepts. The rest leaves room for the stored
+// metadata and for several versions in the document's history.
+const MaxSizeBytes = 256 << 10
 
-// Read reads a document and checks it by itself. The error is of type
-// jsonfile.Faults and has all faults.
+// Read reads and validates one document. The error is of type jsonfile.Faults and
+// has all faults.
 func Read(data []byte) (*document.Document, error) {
-	if len(data) > MaxSize {
+	if len(data) > MaxSizeBytes {
 		return nil, jsonfile.Faults{{
 			Found:   fmt.Sprintf("%d bytes", len(data)),
-			Allowed: fmt.Sprintf("at most %d bytes", MaxSize),
+			Allowed: fmt.Sprintf("at most %d bytes", MaxSizeBytes),
 		}}
 	}
 	var result document.Document
@@ -53,8 +54,8 @@
 	return &result, nil
 }
 
-// Write gives the canonical text of a document. The error is of type
-// jsonfile.Faults: Read would not take the text.
+// Write returns the canonical text of a document. If Read would refuse the text,
+// the error is of type jsonfile.Faults.
 func Write(doc *document.Document) ([]byte, error) {
 	text := jsonfile.Write(*doc, documentTable)
 	if _, err := Read(text); err != nil {
@@ -63,7 +64,7 @@
 	return text, nil
 }
 
-// Reference gives the reference page of documents, one line a member.
+// Reference returns the reference page of documents, one entry per member.
 func Reference() []jsonfile.Description {
 	return jsonfile.Describe(document.Document{}, documentTable)
 }
--- a/internal/config/teamdoc/teamdoc_test.go
+++ b/internal/config/teamdoc/teamdoc_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-const sound = `{
+const validDocument = `{
   "Team": "kerlouan",
   "Classes": [{"Name": "science", "Share": 50}, {"Name": "crews", "Share": 30}],
   "DefaultClass": "crews",
@@ -29,8 +29,8 @@
   "Services": [{"Name": "boat-dispatch", "ForbidRepeat": ["POST"], "Promise": {"FirstToken": "2s"}}]
 }`
 
-func TestReadGivesTheDocument(t *testing.T) {
-	doc, err := Read([]byte(sound))
+func TestReadReturnsDocument(t *testing.T) {
+	doc, err := Read([]byte(validDocument))
 	require.NoError(t, err)
 	model, found := doc.Model("briefing")
 	require.True(t, found)
@@ -49,7 +49,7 @@
 	require.Equal(t, doc, again)
 }
 
-func TestEachFaultIsNamed(t *testing.T) {
+func TestReadReportsFaultWithItsPath(t *testing.T) {
 	cases := []struct {
 		replace string
 		by      string
@@ -77,19 +77,19 @@
 		{`"Promise": {"FirstToken": "2s"}`, `"Promise": {"FirstToken": "2s", "BetweenTokens": "1s"}`, `Services[0].Promise.BetweenTokens: found an unknown member`},
 	}
 	for _, c := range cases {
-		require.Contains(t, sound, c.replace)
-		_, err := Read([]byte(strings.Replace(sound, c.replace, c.by, 1)))
+		require.Contains(t, validDocument, c.replace)
+		_, err := Read([]byte(strings.Replace(validDocument, c.replace, c.by, 1)))
 		var faults jsonfile.Faults
 		require.True(t, errors.As(err, &faults), c.by)
 		require.Contains(t, faults.Error(), c.want)
 	}
 	_, err := Read([]byte(`{"Team": "a", "Classes": [{"Name": "c", "Share": 1}], "DefaultClass": "c"}`))
 	require.EqualError(t, err, "file: found no model and no service, allowed at least one model or service")
-	_, err = Read([]byte(strings.Repeat(" ", MaxSize+1)))
+	_, err = Read([]byte(strings.Repeat(" ", MaxSizeBytes+1)))
 	require.EqualError(t, err, "file: found 262145 bytes, allowed at most 262144 bytes")
 }
 
-func docs(list ...*document.Document) map[ident.TeamName]*document.Document {
+func docsByTeam(list ...*document.Document) map[ident.TeamName]*document.Document {
 	result := make(map[ident.TeamName]*document.Document)
 	for _, doc := range list {
 		result[doc.Team] = doc
@@ -97,14 +97,14 @@
 	return result
 }
 
-func teamOf(team ident.TeamName, models ...document.Model) *document.Document {
+func newDocument(team ident.TeamName, models ...document.Model) *document.Document {
 	return &document.Document{
 		Team:   team,
 		Models: models,
 	}
 }
 
-func modelOf(name ident.ModelName, memory unit.Bytes, replicas int) document.Model {
+func newModel(name ident.ModelName, memory unit.Bytes, replicas int) document.Model {
 	return document.Model{
 		Name:     name,
 		Memory:   memory,
@@ -112,7 +112,7 @@
 	}
 }
 
-func servers(memories ...unit.Bytes) []Server {
+func newServers(memories ...unit.Bytes) []Server {
 	var result []Server
 	for i, memory := range memories {
 		result = append(result, Server{
@@ -123,43 +123,44 @@
 	return result
 }
 
-// Two teams each declare a model "notes". Callers ask by name alone, so half of
-// them would get the other team's answers.
-func TestTogetherANameBelongsToOneTeam(t *testing.T) {
-	a := teamOf("a", modelOf("notes", 1, 1))
-	b := teamOf("b", modelOf("other", 1, 1), modelOf("notes", 1, 1))
-	faults := CheckTogether(docs(a, b), servers(100))
+// Two teams each declare a model "notes". Requests identify models by name alone,
+// so half of the callers would get answers of the other team's model.
+func TestCheckAllRefusesNameOfTwoTeams(t *testing.T) {
+	a := newDocument("a", newModel("notes", 1, 1))
+	b := newDocument("b", newModel("other", 1, 1), newModel("notes", 1, 1))
+	faults := CheckTogether(docsByTeam(a, b), newServers(100))
 	require.EqualError(t, faults, `b.Models[1].Name: found "notes", allowed a name that no other team has (a has it at Models[0].Name)`)
 }
 
-// Each of two documents fits alone. Accepted together they would leave a model
-// that no placement can make resident, and its callers without answers.
-func TestTogetherTheLeastReplicasMustFit(t *testing.T) {
-	a := teamOf("a", modelOf("big", 60, 2))
-	b := teamOf("b", modelOf("wide", 50, 2))
-	require.Empty(t, CheckTogether(docs(a), servers(100, 100)))
-	require.Empty(t, CheckTogether(docs(b), servers(100, 100)))
-	faults := CheckTogether(docs(a, b), servers(100, 100))
+// Each of two documents fits the servers alone, but not both together. If both were
+// accepted, no placement could make all models resident, and callers of the missing
+// model would get no answers.
+func TestCheckAllRefusesReplicasThatDoNotFit(t *testing.T) {
+	a := newDocument("a", newModel("big", 60, 2))
+	b := newDocument("b", newModel("wide", 50, 2))
+	require.Empty(t, CheckTogether(docsByTeam(a), newServers(100, 100)))
+	require.Empty(t, CheckTogether(docsByTeam(b), newServers(100, 100)))
+	faults := CheckTogether(docsByTeam(a, b), newServers(100, 100))
 	require.EqualError(t, faults, "b.Models[0]: found 2 more replicas of 50B each, adapters with them, "+
 		"allowed what fits beside all other models (220B needed in all, 200B on 2 servers)")
 
-	// One large server does not help: replicas stand on distinct servers.
-	require.NotEmpty(t, CheckTogether(docs(a), servers(1000)))
+	// One large server does not help: replicas need distinct servers.
+	require.NotEmpty(t, CheckTogether(docsByTeam(a), newServers(1000)))
 	// Adapters are resident with each replica.
 	a.Models[0].Adapters = []document.Adapter{{
 		Memory: 41,
 	}}
-	require.NotEmpty(t, CheckTogether(docs(a), servers(100, 100)))
-	// First fit would fill server 0 with the single ones and leave no second
+	require.NotEmpty(t, CheckTogether(docsByTeam(a), newServers(100, 100)))
+	// First fit would fill server 0 with both single replicas and leave no second
 	// server for the pair.
-	c := teamOf("c", modelOf("x", 50, 1), modelOf("y", 50, 1), modelOf("z", 40, 2))
-	require.Empty(t, CheckTogether(docs(c), servers(100, 100)))
+	c := newDocument("c", newModel("x", 50, 1), newModel("y", 50, 1), newModel("z", 40, 2))
+	require.Empty(t, CheckTogether(docsByTeam(c), newServers(100, 100)))
 	require.Empty(t, CheckTogether(nil, nil))
 }
 
-// What the check promises: where it finds no fault, a placement exists. pack is
-// redone here with names, as an independent look at its sums.
-func TestNoFaultMeansAPlacementExists(t *testing.T) {
+// If the check reports no fault, a placement exists. An exhaustive search verifies
+// this independently of pack.
+func TestCheckAllAcceptsOnlyPlaceableModels(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		memories := rapid.SliceOfN(rapid.Int64Range(1, 100), 1, 6).Draw(t, "servers")
 		var capacity []unit.Bytes
@@ -170,34 +171,34 @@
 		}
 		var models []document.Model
 		for i := range rapid.IntRange(1, 4).Draw(t, "models") {
-			models = append(models, modelOf(ident.ModelName(fmt.Sprintf("m%d", i)),
+			models = append(models, newModel(ident.ModelName(fmt.Sprintf("m%d", i)),
 				unit.Bytes(rapid.Int64Range(1, 60).Draw(t, "memory")), rapid.IntRange(1, 3).Draw(t, "replicas")))
 		}
-		if len(CheckTogether(docs(teamOf("a", models...)), servers(capacity...))) > 0 {
+		if len(CheckTogether(docsByTeam(newDocument("a", models...)), newServers(capacity...))) > 0 {
 			return
 		}
-		require.True(t, placeable(models, capacity), "%v does not fit %v", models, capacity)
+		require.True(t, isPlaceable(models, capacity), "%v does not fit %v", models, capacity)
 	})
 }
 
-// placeable tries all placements.
-func placeable(models []document.Model, free []unit.Bytes) bool {
+// isPlaceable tries all placements.
+func isPlaceable(models []document.Model, free []unit.Bytes) bool {
 	if len(models) == 0 {
 		return true
 	}
-	return placeReplicas(models[0].Replicas, 0, models, free)
+	return canPlaceReplicas(models[0].Replicas, 0, models, free)
 }
 
-func placeReplicas(left, from int, models []document.Model, free []unit.Bytes) bool {
+func canPlaceReplicas(left, from int, models []document.Model, free []unit.Bytes) bool {
 	if left == 0 {
-		return placeable(models[1:], free)
+		return isPlaceable(models[1:], free)
 	}
 	for i := from; i < len(free); i++ {
 		if free[i] < models[0].Memory {
 			continue
 		}
 		free[i] -= models[0].Memory
-		if placeReplicas(left-1, i+1, models, free) {
+		if canPlaceReplicas(left-1, i+1, models, free) {
 			return true
 		}
 		free[i] += models[0].Memory
@@ -205,27 +206,27 @@
 	return false
 }
 
-func TestNeedsMore(t *testing.T) {
-	before := teamOf("a", modelOf("m", 10, 2))
+func TestNeedsMoreMemory(t *testing.T) {
+	before := newDocument("a", newModel("m", 10, 2))
 	require.True(t, NeedsMore(nil, before))
 	require.False(t, NeedsMore(before, nil))
-	require.False(t, NeedsMore(before, teamOf("a", modelOf("m", 9, 2))))
-	require.True(t, NeedsMore(before, teamOf("a", modelOf("m", 10, 3))))
-	require.True(t, NeedsMore(before, teamOf("a", modelOf("m", 11, 1))))
-	require.True(t, NeedsMore(before, teamOf("a", modelOf("n", 10, 2))))
+	require.False(t, NeedsMore(before, newDocument("a", newModel("m", 9, 2))))
+	require.True(t, NeedsMore(before, newDocument("a", newModel("m", 10, 3))))
+	require.True(t, NeedsMore(before, newDocument("a", newModel("m", 11, 1))))
+	require.True(t, NeedsMore(before, newDocument("a", newModel("n", 10, 2))))
 }
 
-func BenchmarkCheckTogether(b *testing.B) {
+func BenchmarkCheckAll(b *testing.B) {
 	var models []document.Model
 	for i := range 1400 {
-		models = append(models, modelOf(ident.ModelName(fmt.Sprintf("m%d", i)), unit.Bytes(20+i%60), 2+i%4))
+		models = append(models, newModel(ident.ModelName(fmt.Sprintf("m%d", i)), unit.Bytes(20+i%60), 2+i%4))
 	}
 	var memories []unit.Bytes
 	for range 850 {
 		memories = append(memories, 640)
 	}
-	all := docs(teamOf("a", models...))
-	capacity := servers(memories...)
+	all := docsByTeam(newDocument("a", models...))
+	capacity := newServers(memories...)
 	for b.Loop() {
 		if len(CheckTogether(all, capacity)) > 0 {
 			b.Fatal("does not fit")
--- a/internal/config/teamdoc/together.go
+++ b/internal/config/teamdoc/together.go
@@ -18,26 +18,26 @@
 	Memory unit.Bytes
 }
 
-// CheckTogether checks documents, each sound by itself, for what only shows in
-// all of them: a name that two teams use, and whether the least number of
-// replicas of every model, each with all its adapters, fits the servers. The
-// paths of its faults begin with the team. They come in the order of the teams'
-// names, so that every host gives the same ones.
+// CheckTogether validates the documents of all teams, each valid by itself,
+// against each other: no name may be used by two teams, and the minimum number of
+// replicas of every model, each with all its adapters, must fit the servers. The
+// path of each fault starts with the team. Name faults are sorted by team, memory
+// faults by decreasing replica size, so that every host reports the same ones.
 //
-// What the memory check guarantees: no fault means that a placement exists in
-// which no server is overcommitted and no two replicas of a model share a
-// server; the check has built one. A fault does not prove that there is none:
-// packing is NP-hard, and two greedy ways are tried (first fit and most free
-// first, both with decreasing sizes), so a set that leaves only little memory
-// free may be refused although it fits. It asks for no spare room beyond the
-// least, such as for a version change beside the old version.
+// If the memory check reports no fault, a placement exists in which no server is
+// overcommitted and no two replicas of a model share a server: the check has
+// constructed one. A fault does not prove that no placement exists. Bin packing is
+// NP-hard, and the check tries two greedy methods (first fit and worst fit, both by
+// decreasing size), so it may refuse a set that fits but leaves little memory free.
+// The check reserves no memory beyond the minimum, for example for loading a new
+// version beside the old one.
 func CheckTogether(docs map[ident.TeamName]*document.Document, capacity []Server) jsonfile.Faults {
 	faults := CheckNames(docs)
-	return append(faults, checkFit(docs, capacity)...)
+	return append(faults, checkMemory(docs, capacity)...)
 }
 
-// CheckNames is the part of CheckTogether that is about names: callers ask by
-// name only, so a name belongs to one team.
+// CheckNames is the part of CheckTogether that checks names. Requests identify
+// models, adapters and services by name alone, so a name belongs to one team.
 func CheckNames(docs map[ident.TeamName]*document.Document) jsonfile.Faults {
 	type owner struct {
 		team ident.TeamName
@@ -45,8 +45,8 @@
 	}
 	var faults jsonfile.Faults
 	owners := make(map[string]owner)
-	for _, team := range teams(docs) {
-		for _, use := range names(docs[team]) {
+	for _, team := range sortedTeams(docs) {
+		for _, use := range listNameUses(docs[team]) {
 			if first, taken := owners[use.name]; taken && first.team != team {
 				faults.Add(jsonfile.Join(string(team), use.path), strconv.Quote(use.name),
 					fmt.Sprintf("a name that no other team has (%s has it at %s)", first.team, first.path))
@@ -61,7 +61,7 @@
 	return faults
 }
 
-func teams(docs map[ident.TeamName]*document.Document) []ident.TeamName {
+func sortedTeams(docs map[ident.TeamName]*document.Document) []ident.TeamName {
 	result := make([]ident.TeamName, 0, len(docs))
 	for team := range docs {
 		result = append(result, team)
@@ -70,7 +70,7 @@
 	return result
 }
 
-// ReplicaMemory is what one replica of a model takes with all its adapters.
+// ReplicaMemory returns the memory of one replica of a model with all its adapters.
 func ReplicaMemory(model *document.Model) unit.Bytes {
 	memory := model.Memory
 	for i := range model.Adapters {
@@ -79,9 +79,9 @@
 	return memory
 }
 
-// NeedsMore tells whether a document needs accelerator memory that the one
-// before it did not: for some model more replicas, or larger ones. Nil means
-// that there is no document.
+// NeedsMore reports whether a document needs more accelerator memory for some
+// model than the previous document: a new model, more replicas, or larger ones. A
+// nil argument means that there is no document.
 func NeedsMore(before, after *document.Document) bool {
 	if after == nil {
 		return false
@@ -99,20 +99,20 @@
 	return false
 }
 
-// need is what one model takes at its least number of replicas.
-type need struct {
+// memoryDemand is the memory that the minimum number of replicas of a model needs.
+type memoryDemand struct {
 	team     ident.TeamName
 	index    int
 	replicas int
 	memory   unit.Bytes // of one replica with its adapters
 }
 
-func needs(docs map[ident.TeamName]*document.Document) []need {
-	var result []need
-	for _, team := range teams(docs) {
+func listMemoryDemands(docs map[ident.TeamName]*document.Document) []memoryDemand {
+	var result []memoryDemand
+	for _, team := range sortedTeams(docs) {
 		for i := range docs[team].Models {
 			model := &docs[team].Models[i]
-			result = append(result, need{
+			result = append(result, memoryDemand{
 				team:     team,
 				index:    i,
 				replicas: model.Replicas,
@@ -123,78 +123,82 @@
 	return result
 }
 
-func checkFit(docs map[ident.TeamName]*document.Document, capacity []Server) jsonfile.Faults {
-	wanted := needs(docs)
-	// Decreasing: a large replica left for last finds only small gaps.
-	slices.SortStableFunc(wanted, func(a, b need) int {
+func checkMemory(docs map[ident.TeamName]*document.Document, capacity []Server) jsonfile.Faults {
+	demands := listMemoryDemands(docs)
+	// By decreasing size: a large replica that is placed last finds only small
+	// gaps.
+	slices.SortStableFunc(demands, func(a, b memoryDemand) int {
 		return cmp.Compare(b.memory, a.memory)
 	})
-	// The reports come in any order; by name, every host packs alike.
+	// Servers come in the arbitrary order of their reports; sorting by name makes
+	// every host compute the same result.
 	capacity = slices.SortedFunc(slices.Values(capacity), func(a, b Server) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
-	left := pack(wanted, capacity, firstFit)
-	if len(left) == 0 || len(pack(wanted, capacity, mostFree)) == 0 {
+	unplaced := pack(demands, capacity, firstFit)
+	if len(unplaced) == 0 || len(pack(demands, capacity, worstFit)) == 0 {
 		return nil
 	}
-	return unplaced(left, wanted, capacity)
+	return unplacedFaults(unplaced, demands, capacity)
 }
 
-func unplaced(left, wanted []need, capacity []Server) jsonfile.Faults {
+func unplacedFaults(unplaced, demands []memoryDemand, capacity []Server) jsonfile.Faults {
 	var needed, available unit.Bytes
-	for _, w := range wanted {
-		needed += w.memory * unit.Bytes(w.replicas)
+	for _, demand := range demands {
+		needed += demand.memory * unit.Bytes(demand.replicas)
 	}
 	for _, server := range capacity {
 		available += server.Memory
 	}
 	var faults jsonfile.Faults
-	for _, l := range left {
-		path := jsonfile.Join(string(l.team), jsonfile.Index("Models", l.index))
-		faults.Add(path, fmt.Sprintf("%d more replicas of %s each, adapters with them", l.replicas, l.memory),
+	for _, demand := range unplaced {
+		path := jsonfile.Join(string(demand.team), jsonfile.Index("Models", demand.index))
+		faults.Add(path, fmt.Sprintf("%d more replicas of %s each, adapters with them", demand.replicas, demand.memory),
 			fmt.Sprintf("what fits beside all other models (%s needed in all, %s on %d servers)", needed, available, len(capacity)))
 	}
 	return faults
 }
 
-// fit is a way to choose a server for a replica.
-type fit int
+// packingMethod is a greedy method to choose servers for replicas.
+type packingMethod int
 
 const (
-	// firstFit fills servers up one after the other.
-	firstFit fit = iota
-	// mostFree finds room for many replicas of one model on distinct servers,
-	// where first fit fills some servers up too early.
-	mostFree
+	// firstFit takes the first servers, by name, with enough free memory.
+	firstFit packingMethod = iota
+	// worstFit takes the servers with the most free memory. It can place many
+	// replicas of one model on distinct servers where first fit fills some servers
+	// too early.
+	worstFit
 )
 
-// pack places replicas and gives what found no place.
-func pack(wanted []need, capacity []Server, way fit) []need {
+// pack places replicas on servers and returns the demands that do not fit, each
+// with the number of replicas that are left.
+func pack(demands []memoryDemand, capacity []Server, method packingMethod) []memoryDemand {
 	free := make([]unit.Bytes, 0, len(capacity))
 	for _, server := range capacity {
 		free = append(free, server.Memory)
 	}
-	var left []need
-	for _, w := range wanted {
-		if way == mostFree {
+	var unplaced []memoryDemand
+	for _, demand := range demands {
+		if method == worstFit {
 			slices.SortFunc(free, func(a, b unit.Bytes) int {
 				return cmp.Compare(b, a)
 			})
 		}
-		// Each server is looked at once for a model, so that two of its replicas
-		// never share one.
+		// Each server is considered once per model, so that two replicas of a
+		// model never share a server.
 		for i := range free {
-			if w.replicas == 0 {
+			if demand.replicas == 0 {
 				break
 			}
-			if free[i] >= w.memory {
-				free[i] -= w.memory
-				w.replicas--
+			if free[i] >= demand.memory {
+				free[i] -= demand.memory
+				demand.replicas--
 			}
 		}
-		if w.replicas > 0 {
-			left = append(left, w)
+		if demand.replicas > 0 {
+			unplaced = append(unplaced, demand)
 		}
 	}
-	return left
+	return unplaced
 }
