--- a/internal/command/program/program.go
+++ b/internal/command/program/program.go
@@ -1,5 +1,7 @@
-// Package program is the frame of a program with commands: it finds the command
-// that the arguments name, shows its page, reads its flags and runs it.
+// Package program implements command-line programs with subcommands. A Program
+// selects the Command that the first argument names, parses its flags, prints its
+// help and runs it. Commands register themselves during initialisation, before
+// main calls Run; a Program is not safe for concurrent use.
 //
 // # Usage
 //
@@ -19,8 +21,8 @@
 //
 //	os.Exit(commands.Run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 //
-// `PROGRAM -h` lists the commands, `PROGRAM COMMAND -h` and `PROGRAM help
-// COMMAND` show a command's page on standard output.
+// `PROGRAM -h` lists the commands. `PROGRAM COMMAND -h` and `PROGRAM help COMMAND`
+// print the help of a command to standard output.
 package program
 
 import (
@@ -38,34 +40,35 @@
 const (
 	ExitOK      = 0
 	ExitFailure = 1
-	// ExitInput is for bad input: arguments, settings or a document that can't
-	// be accepted.
+	// ExitInput is the code for invalid input: arguments, settings or a document
+	// that is refused.
 	ExitInput = 2
 )
 
-// Command is one command of a program.
+// Command is one subcommand of a program.
 type Command struct {
 	Name    string
 	Summary string
-	// Help is the page that -h shows, above the flags.
+	// Help is the text that -h prints above the flags.
 	Help string
-	// Arguments tells that the command takes more than flags.
+	// Arguments is true if the command accepts positional arguments.
 	Arguments bool
-	// Prepare declares the flags and gives what runs once they are parsed.
+	// Prepare declares the flags and returns the function to run after they are
+	// parsed.
 	Prepare func(flags *flag.FlagSet) Runner
 }
 
-// Runner runs a command until it is done or the context ends. args are the
-// arguments that are no flags.
+// Runner runs a command until it is done or the context is cancelled. args are the
+// positional arguments.
 type Runner func(ctx context.Context, to Streams, args []string) error
 
-// Streams are where a command writes: results to Out, everything else to Err.
+// Streams are the outputs of a command: Out for results, Err for everything else.
 type Streams struct {
 	Out io.Writer
 	Err io.Writer
 }
 
-// inputError is a fault in what the user gave.
+// inputError is an error caused by invalid input of the user.
 type inputError struct {
 	cause error
 }
@@ -75,21 +78,22 @@
 	return e.cause.Error()
 }
 
-// BadInput makes an error that ends the program with ExitInput.
+// BadInput formats an error for which Run returns ExitInput.
 func BadInput(format string, args ...any) error {
 	return inputError{
 		cause: errors.Errorf(format, args...),
 	}
 }
 
-// Program is a program with commands. Name must be set.
+// Program is a command-line program with subcommands. Name must be set.
 type Program struct {
 	Name     string
 	About    string
 	commands map[string]Command
 }
 
-// Register adds a command; each command's file does so from init.
+// Register adds a command. It is called by an init function in the file of each
+// command.
 func (p *Program) Register(c Command) {
 	if p.commands == nil {
 		p.commands = make(map[string]Command)
@@ -97,7 +101,7 @@
 	p.commands[c.Name] = c
 }
 
-// Names gives the names of all commands, sorted.
+// Names returns the sorted names of all commands.
 func (p *Program) Names() []string {
 	names := make([]string, 0, len(p.commands))
 	for name := range p.commands {
@@ -107,69 +111,70 @@
 	return names
 }
 
-// Run runs the command that the arguments name and gives the exit code.
+// Run runs the command that the arguments name and returns the exit code.
 func (p *Program) Run(ctx context.Context, args []string, out, err io.Writer) int {
-	to := Streams{
+	streams := Streams{
 		Out: out,
 		Err: err,
 	}
 	switch {
 	case len(args) == 0:
-		p.overview(err)
+		p.printOverview(err)
 		return ExitInput
 	case args[0] == "help" && len(args) > 1:
-		return p.run(ctx, to, args[1], []string{"-h"})
-	case args[0] == "help" || isHelp(args[0]):
-		p.overview(out)
+		return p.runCommand(ctx, streams, args[1], []string{"-h"})
+	case args[0] == "help" || isHelpFlag(args[0]):
+		p.printOverview(out)
 		return ExitOK
 	default:
-		return p.run(ctx, to, args[0], args[1:])
+		return p.runCommand(ctx, streams, args[0], args[1:])
 	}
 }
 
-func isHelp(arg string) bool {
+func isHelpFlag(arg string) bool {
 	return arg == "-h" || arg == "-help" || arg == "--help"
 }
 
-func (p *Program) run(ctx context.Context, to Streams, name string, args []string) int {
-	chosen, known := p.commands[name]
-	if !known {
-		fmt.Fprintf(to.Err, "%s: command: found %q, allowed one of those that %s -h lists\n", p.Name, name, p.Name)
+func (p *Program) runCommand(ctx context.Context, streams Streams, name string, args []string) int {
+	command, found := p.commands[name]
+	if !found {
+		fmt.Fprintf(streams.Err, "%s: command: found %q, allowed one of those that %s -h lists\n", p.Name, name, p.Name)
 		return ExitInput
 	}
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
-	flags.SetOutput(pageStream(to, args))
-	run := chosen.Prepare(flags)
-	flags.Usage = func() { p.page(chosen, flags) }
+	flags.SetOutput(helpOutput(streams, args))
+	run := command.Prepare(flags)
+	flags.Usage = func() { p.printHelp(command, flags) }
 	if err := flags.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return ExitOK
 		}
 		return ExitInput
 	}
-	if !chosen.Arguments && flags.NArg() > 0 {
-		fmt.Fprintf(to.Err, "%s %s: arguments: found %q, allowed only flags\n", p.Name, name, flags.Args())
+	if !command.Arguments && flags.NArg() > 0 {
+		fmt.Fprintf(streams.Err, "%s %s: arguments: found %q, allowed only flags\n", p.Name, name, flags.Args())
 		return ExitInput
 	}
-	return p.exitCode(to, name, run(ctx, to, flags.Args()))
+	return p.reportResult(streams, name, run(ctx, streams, flags.Args()))
 }
 
-// pageStream gives where a page goes: to those who asked for it, or to the
-// errors with the fault in the flags.
-func pageStream(to Streams, args []string) io.Writer {
+// helpOutput returns the output for help and flag errors: Out if the user asked
+// for help, otherwise Err.
+func helpOutput(streams Streams, args []string) io.Writer {
 	for _, arg := range args {
-		if isHelp(arg) {
-			return to.Out
+		if isHelpFlag(arg) {
+			return streams.Out
 		}
 	}
-	return to.Err
+	return streams.Err
 }
 
-func (p *Program) exitCode(to Streams, name string, err error) int {
+// reportResult prints the error of a command, if any, and returns the exit code.
+func (p *Program) reportResult(streams Streams, name string, err error) int {
 	if err == nil {
 		return ExitOK
 	}
-	fmt.Fprintf(to.Err, "%s %s: %v\n", p.Name, name, err)
+	fmt.Fprintf(streams.Err, "%s %s: %v\n", p.Name, name, err)
 	var input inputError
 	if errors.As(err, &input) {
 		return ExitInput
@@ -177,13 +182,13 @@
 	return ExitFailure
 }
 
-func (p *Program) page(c Command, flags *flag.FlagSet) {
+func (p *Program) printHelp(c Command, flags *flag.FlagSet) {
 	out := flags.Output()
 	fmt.Fprintf(out, "%s %s: %s\n\n%s\nFlags:\n", p.Name, c.Name, c.Summary, c.Help)
 	flags.PrintDefaults()
 }
 
-func (p *Program) overview(out io.Writer) {
+func (p *Program) printOverview(out io.Writer) {
 	fmt.Fprintf(out, "%s %s.\n\nUsage: %s COMMAND [FLAGS]\n\nCommands:\n", p.Name, p.About, p.Name)
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, name := range p.Names() {
