--- a/internal/load/counters/counters.go
+++ b/internal/load/counters/counters.go
@@ -1,5 +1,7 @@
-// Package counters reads what a fleet counts of itself: the moves from an entry
-// host's status, the runs, tokens and overcommits from the servers' statistics.
+// Package counters reads the counters that a fleet keeps about itself: moves from
+// the status of the entry hosts; runs, tokens and overcommits from the statistics
+// of the backend servers. Two snapshots, read before and after a load run, give
+// what the fleet did in between. The load tool and package fleet call it.
 //
 // # Usage
 //
@@ -9,21 +11,25 @@
 //		Servers:  []string{"127.0.0.1:9001"},
 //	}
 //	before, err := reader.Read(ctx)
-//	... the load ...
+//	... the load run ...
 //	after, err := reader.Read(ctx)
 //	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRun())
 //
 // # Moves
 //
-// A host counts the moves that it ordered itself while it led, so all hosts have
-// to be read. The moves of a host that ended meanwhile are lost with it; such
-// hosts are counted in result.Fleet.HostsNotRead.
+// Each host counts only the moves that it ordered itself while it was the leader,
+// so all hosts have to be read. The counts of a host that stops between the two
+// snapshots are lost; result.Fleet.HostsNotRead counts such hosts.
 //
-// # Source
+// # Endpoints
 //
-// The status is that of GET /admin/status (internal/peer/operator), the
-// statistics are those that the stand-ins of engines and plain services serve
-// at GET /stats.
+// The status comes from GET /admin/status (internal/peer/operator), the
+// statistics from GET /stats of the simulated engines and plain services.
+//
+// # Concurrency
+//
+// Calls are synchronous and start no goroutines. A Reader may be used by many
+// goroutines as long as its fields don't change.
 package counters
 
 import (
@@ -42,32 +48,37 @@
 
 const (
 	readTimeout = 10 * time.Second
-	// bodyLimit bounds one answer: the statistics name each request that ran.
-	bodyLimit = 64 << 20
+	// maxBodyBytes bounds one response body; the statistics list every request
+	// that ran, so they can be long.
+	maxBodyBytes = 64 << 20
 )
 
-// Reader reads a fleet's counters. What is not set is not read.
+// Reader reads a fleet's counters. Hosts and servers that are not listed are
+// skipped.
 type Reader struct {
-	// Statuses are the base URLs of all entry hosts' sides for operators, Token
-	// the administrators' token there.
+	// Statuses are the base URLs of the operator listeners of all entry hosts,
+	// Token is the administrator token for them.
 	Statuses []string
 	Token    string
-	// Servers are addresses of engines and plain services.
+	// Servers are the addresses (host:port) of engines and plain services.
 	Servers []string
 }
 
 // Snapshot is a fleet's counters at one time.
 type Snapshot struct {
-	// Moves counts moves by host (its URL) and reason, of the hosts that could be
-	// reached.
-	Moves       map[string]map[string]int
+	// Moves counts moves by host (its base URL) and reason. Hosts that could not
+	// be reached are missing.
+	Moves map[string]map[string]int
+	// Runs counts how often each request ran, over all servers; RunsNotKept
+	// counts the runs that servers did not record by request.
 	Runs        map[ident.RequestID]int
 	RunsNotKept int
 	Overcommits int
 	Tokens      int64
 }
 
-// Read reads all counters.
+// Read reads all counters. A host that does not answer is left out; any other
+// failure is an error.
 func (r *Reader) Read(ctx context.Context) (*Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -93,16 +104,17 @@
 	return &snapshot, nil
 }
 
-// Status is what is used here of an entry host's status.
+// Status is the part of an entry host's status that this package decodes.
 type Status struct {
-	Revision  int64
+	Revision int64
+	// InForce counts the live hosts that have every edit up to Revision.
 	InForce   int
 	LiveHosts int
 	Moves     map[string]int
 	Models    []ModelStatus
 }
 
-// ModelStatus is how many replicas of a model there should be and are.
+// ModelStatus has the desired, ready and loading replicas of a model.
 type ModelStatus struct {
 	Model   string
 	Want    int
@@ -110,14 +122,15 @@
 	Loading int
 }
 
-// ReadStatus reads the status at an operators' base URL.
+// ReadStatus reads the status of an entry host from the base URL of its operator
+// listener.
 func ReadStatus(ctx context.Context, base, token string) (Status, error) {
 	var status Status
-	return status, read(ctx, strings.TrimSuffix(base, "/")+"/admin/status", token, &status)
+	return status, fetchJSON(ctx, strings.TrimSuffix(base, "/")+"/admin/status", token, &status)
 }
 
-// wireStats is what engines and plain services have in common, and Tokens and
-// Overcommits, which only engines have.
+// wireStats has the statistics that both engines and plain services serve, plus
+// TokensGenerated and Overcommits, which only engines serve.
 type wireStats struct {
 	Runs            map[ident.RequestID]int
 	RunsNotKept     int
@@ -127,7 +140,7 @@
 
 func (s *Snapshot) addServer(ctx context.Context, address string) error {
 	var stats wireStats
-	if err := read(ctx, "http://"+address+"/stats", "", &stats); err != nil {
+	if err := fetchJSON(ctx, "http://"+address+"/stats", "", &stats); err != nil {
 		return err
 	}
 	for request, runs := range stats.Runs {
@@ -139,18 +152,18 @@
 	return nil
 }
 
-// client makes a new connection for each reading: readings are rare, and an
-// idle connection would hold up a server that stops.
+// client opens a new connection for each request: requests are rare, and an idle
+// connection would delay the shutdown of a server.
 var client = &http.Client{
 	Transport: &http.Transport{
 		DisableKeepAlives: true,
 	},
 }
 
-// errUnreachable tells that no answer came.
+// errUnreachable reports that the request got no response.
 var errUnreachable = errors.New("no answer")
 
-func read(ctx context.Context, url, token string, into any) error {
+func fetchJSON(ctx context.Context, url, token string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "counters")
@@ -163,19 +176,19 @@
 		return errors.Wrap(errUnreachable, err.Error())
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, bodyLimit))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
-		return errors.Wrapf(err, "counters at %s", url)
+		return errors.Wrapf(err, "read counters at %s", url)
 	}
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("counters at %s: status %d: %s", url, response.StatusCode, body)
+		return errors.Errorf("read counters at %s: status %d: %s", url, response.StatusCode, body)
 	}
-	return errors.Wrapf(json.Unmarshal(body, into), "counters at %s", url)
+	return errors.Wrapf(json.Unmarshal(body, into), "decode counters at %s", url)
 }
 
-// Compare tells what a fleet did between two snapshots, of a load whose callers
-// got so many tokens in whole answers, and were told of notRun that they were
-// not run.
+// Compare returns what a fleet did between two snapshots. delivered is the number
+// of tokens that callers got in whole answers during the load run; notRun are the
+// requests whose refusal said that they were not run.
 func Compare(before, after *Snapshot, delivered int64, notRun []ident.RequestID) *result.Fleet {
 	fleet := result.Fleet{
 		MovesBy:         make(map[string]int),
@@ -191,15 +204,15 @@
 	}
 	for host, counts := range after.Moves {
 		for reason, moves := range counts {
-			if more := moves - before.Moves[host][reason]; more != 0 {
-				fleet.MovesBy[reason] += more
-				fleet.Moves += more
+			if increase := moves - before.Moves[host][reason]; increase != 0 {
+				fleet.MovesBy[reason] += increase
+				fleet.Moves += increase
 			}
 		}
 	}
 	for request, runs := range after.Runs {
-		if earlier, known := before.Runs[request]; known {
-			fleet.Retries += runs - earlier
+		if previousRuns, known := before.Runs[request]; known {
+			fleet.Retries += runs - previousRuns
 		} else {
 			fleet.Retries += runs - 1
 		}
--- a/internal/load/counters/counters_test.go
+++ b/internal/load/counters/counters_test.go
@@ -19,7 +19,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func TestReaderAddsServersUp(t *testing.T) {
+func TestReaderSumsServerStatistics(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/stats":
@@ -34,10 +34,10 @@
 	address := server.Listener.Addr().String()
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	gone := closed.Addr().String()
+	unreachable := closed.Addr().String()
 	require.NoError(t, closed.Close())
 	reader := Reader{
-		Statuses: []string{server.URL + "/", "http://" + gone},
+		Statuses: []string{server.URL + "/", "http://" + unreachable},
 		Token:    "secret",
 		Servers:  []string{address, address},
 	}
@@ -56,7 +56,7 @@
 	require.ErrorContains(t, err, "status 401")
 }
 
-func TestCompare(t *testing.T) {
+func TestCompareReportsDifferences(t *testing.T) {
 	before := Snapshot{
 		Moves: map[string]map[string]int{
 			"led":  {"Declared": 3},
