--- a/internal/load/fleet/fleet.go
+++ b/internal/load/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet runs a whole fleet in one process on loopback: the platform's
-// stand-ins, engines, plain services and entry hosts, with the team's document
-// in force and every model ready.
+// Package fleet runs a whole fleet in one process on loopback addresses: simulated
+// platform services (key-value service, host list, weight store), engines and plain
+// services, and real entry hosts. Start returns when the team's document is in force
+// and every model and adapter answers. Package experiment calls it.
 //
 // # Usage
 //
@@ -11,12 +12,15 @@
 //	defer running.Stop()
 //	running.Engines[0].Faults.Set(...)
 //
-// # What it leaves out
+// The exported fields of Fleet are set by Start and not changed afterwards. Kill and
+// Stop must not be called concurrently.
 //
-// There is no delay between the parts other than that of loopback, and no
-// narrow link: everything stands in one region. All parts share the process,
-// its heap and its cores, so a load that takes more than about half of the
-// machine measures the machine.
+// # What is not modelled
+//
+// The network between the parts has the latency of loopback and no bandwidth limit,
+// and everything is in one region. All parts share one process, its heap and its
+// cores: a load run that takes more than about half of the machine measures the
+// machine.
 package fleet
 
 import (
@@ -40,30 +44,32 @@
 )
 
 const (
-	anyPort = "127.0.0.1:0"
-	// loadsPerSecond makes the weight store fast: set-up is not what a load
-	// measures.
+	loopbackAnyPort = "127.0.0.1:0"
+	// loadsPerSecond makes the weight store fast, since the set-up of the fleet is
+	// not part of what is measured.
 	loadsPerSecond = 400
 	readyTimeout   = 60 * time.Second
-	// stopTimeout is how long a host may take to stop in order.
+	// stopTimeout bounds the graceful stop of all hosts together.
 	stopTimeout = 5 * time.Second
 	adminToken  = "admin-token-of-the-load-tool"
 	teamToken   = "team-token-of-the-load-tool"
 )
 
-// Options say what fleet to run.
+// Options describe the fleet.
 type Options struct {
 	Size    sizes.Size
 	Routing settings.Routing
-	// MovesWeight is the policy's weight of moves; 0 looks at attainment only.
+	// MovesWeight is the weight of moves in the placement policy; with 0 only
+	// attainment counts.
 	MovesWeight float64
-	// Log gets what the hosts log; nil drops it.
+	// Log is the logger of the hosts; nil discards their log.
 	Log *zap.Logger
-	// SlowWeights gives the weight store the pace of the brief.
-	SlowWeights bool
+	// LimitedLoadRate gives the weight store its default rate of loads, that of the
+	// platform, in place of a fast one.
+	LimitedLoadRate bool
 }
 
-// Fleet is a running fleet.
+// Fleet is a running fleet. Indices of Hosts are the numbers that Kill takes.
 type Fleet struct {
 	KeyValue *etcd.Server
 	HostList *hostlist.List
@@ -72,14 +78,14 @@
 	Services []*plain.Service
 	Hosts    []*host.Host
 
-	options  Options
-	platform settings.Platform
-	weights  string
-	servers  []string
-	killed   []bool
+	options         Options
+	platform        settings.Platform
+	weightStore     string
+	serverAddresses []string
+	isKilled        []bool
 }
 
-// Start starts a fleet and waits until every model and adapter answers at every
+// Start starts a fleet and waits until every model and adapter answers through every
 // host.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	if options.Log == nil {
@@ -89,7 +95,7 @@
 		options: options,
 	}
 	if err := f.start(ctx); err != nil {
-		_ = f.Stop() // the first failure is the one to tell
+		_ = f.Stop() // the first error is returned
 		return nil, err
 	}
 	return f, nil
@@ -117,25 +123,25 @@
 
 func (f *Fleet) startPlatform() error {
 	f.KeyValue = etcd.New(etcd.Options{})
-	keyValue, err := f.KeyValue.Start(anyPort)
+	keyValue, err := f.KeyValue.Start(loopbackAnyPort)
 	if err != nil {
 		return err
 	}
 	f.HostList = hostlist.New(hostlist.Options{})
-	list, err := f.HostList.Start(anyPort)
+	list, err := f.HostList.Start(loopbackAnyPort)
 	if err != nil {
 		return err
 	}
-	var pace weights.Options
-	if !f.options.SlowWeights {
-		pace.LoadsPerSecond = loadsPerSecond
+	var storeOptions weights.Options
+	if !f.options.LimitedLoadRate {
+		storeOptions.LoadsPerSecond = loadsPerSecond
 	}
-	f.Weights = weights.New(pace)
-	store, err := f.Weights.Start(anyPort)
+	f.Weights = weights.New(storeOptions)
+	store, err := f.Weights.Start(loopbackAnyPort)
 	if err != nil {
 		return err
 	}
-	f.weights = store
+	f.weightStore = store
 	f.platform = settings.Platform{
 		KeyValue: []string{keyValue.String()},
 		HostList: "http://" + list,
@@ -147,32 +153,32 @@
 	size := &f.options.Size
 	for number := range size.Engines {
 		name := ident.ServerName(fmt.Sprintf("gpu-%02d", number+1))
-		one := engine.New(engine.Options{
+		server := engine.New(engine.Options{
 			Name:           name,
 			Memory:         size.Memory,
 			FirstTokenTime: size.Pace.FirstToken,
 			TimePerToken:   size.Pace.PerToken,
-			WeightStore:    f.weights,
+			WeightStore:    f.weightStore,
 		})
-		f.Engines = append(f.Engines, one)
-		address, err := one.Start(anyPort)
+		f.Engines = append(f.Engines, server)
+		address, err := server.Start(loopbackAnyPort)
 		if err != nil {
 			return err
 		}
-		f.list(backend.Server{
+		f.addToHostList(backend.Server{
 			Name:    name,
 			Kind:    backend.KindEngine,
 			Address: address,
 		}, number)
 	}
 	for number := range size.Service.Replicas {
-		one := plain.New(plain.Options{})
-		f.Services = append(f.Services, one)
-		address, err := one.Start(anyPort)
+		server := plain.New(plain.Options{})
+		f.Services = append(f.Services, server)
+		address, err := server.Start(loopbackAnyPort)
 		if err != nil {
 			return err
 		}
-		f.list(backend.Server{
+		f.addToHostList(backend.Server{
 			Name:    ident.ServerName(fmt.Sprintf("desk-%02d", number+1)),
 			Kind:    backend.KindService,
 			Address: address,
@@ -182,20 +188,21 @@
 	return nil
 }
 
-// list puts a server into the host list, in the data centres in turn.
-func (f *Fleet) list(server backend.Server, number int) {
+// addToHostList adds a server or host to the host list. Consecutive numbers get
+// different data centres.
+func (f *Fleet) addToHostList(server backend.Server, number int) {
 	server.State = backend.StateLive
 	server.Region = f.options.Size.Region
 	server.DataCentre = f.dataCentre(number)
 	f.HostList.Put(server)
 	if server.Kind != backend.KindEntry {
-		f.servers = append(f.servers, server.Address)
+		f.serverAddresses = append(f.serverAddresses, server.Address)
 	}
 }
 
 func (f *Fleet) dataCentre(number int) ident.DataCentre {
-	all := f.options.Size.DataCentres
-	return all[number%len(all)]
+	dataCentres := f.options.Size.DataCentres
+	return dataCentres[number%len(dataCentres)]
 }
 
 func (f *Fleet) startHost(number int) error {
@@ -205,8 +212,8 @@
 		return errors.Wrap(err, name)
 	}
 	f.Hosts = append(f.Hosts, running)
-	f.killed = append(f.killed, false)
-	f.list(backend.Server{
+	f.isKilled = append(f.isKilled, false)
+	f.addToHostList(backend.Server{
 		Name:    ident.ServerName(name),
 		Kind:    backend.KindEntry,
 		Address: running.PeersAddress,
@@ -214,12 +221,12 @@
 	return nil
 }
 
-// settings are those of one entry host. The paces are a production host's; only
-// what the set-up waits for is quicker.
+// settings returns the settings of one entry host. Intervals are the defaults, but
+// for those that the set-up waits for, which are shorter.
 func (f *Fleet) settings(name ident.HostID, number int) settings.Settings {
 	size := &f.options.Size
 	loaded := settings.Default()
-	loaded.Callers.LameDuck = 0 // there is no balancer
+	loaded.Callers.LameDuck = 0 // there is no load balancer to wait for
 	loaded.Host = settings.Host{
 		Name:        name,
 		DataCentre:  f.dataCentre(number),
@@ -230,9 +237,9 @@
 		loaded.Host.DataCentres[each] = size.Region
 	}
 	loaded.Listen = settings.Listen{
-		Callers:   anyPort,
-		Operators: anyPort,
-		Peers:     anyPort,
+		Callers:   loopbackAnyPort,
+		Operators: loopbackAnyPort,
+		Peers:     loopbackAnyPort,
 	}
 	loaded.Platform = f.platform
 	loaded.Policy.Routing = f.options.Routing
@@ -251,67 +258,67 @@
 	return loaded
 }
 
-// Targets are the callers' addresses of all hosts, killed ones too.
+// Targets returns the caller-facing addresses of all hosts, including killed ones.
 func (f *Fleet) Targets() []string {
 	targets := make([]string, 0, len(f.Hosts))
-	for _, one := range f.Hosts {
-		targets = append(targets, one.CallersAddress)
+	for _, running := range f.Hosts {
+		targets = append(targets, running.CallersAddress)
 	}
 	return targets
 }
 
-// Kill ends a host without a graceful stop: its requests in flight are cut. It
-// is the nearest to a killed process that one process allows. The host still
-// settles what it has to tell of its claims and hands its leadership back,
-// which a killed one could not.
+// Kill stops a host without waiting for its requests in flight, which are cut. It
+// approximates a killed process as far as is possible within one process: the host
+// still reports the results of its claims and releases its leadership, which a
+// killed process could not.
 func (f *Fleet) Kill(number int) {
-	if f.killed[number] {
+	if f.isKilled[number] {
 		return
 	}
-	f.killed[number] = true
+	f.isKilled[number] = true
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = f.Hosts[number].Stop(ctx) // it says that requests were cut, as is meant
+	_ = f.Hosts[number].Stop(ctx) // the error reports the cut requests, which are intended
 }
 
-// Stop ends everything, faults first: a part that hangs by a fault would hold
-// the others up.
+// Stop stops all parts and returns the first error. It clears faults first: a part
+// that hangs because of a fault would delay the others.
 func (f *Fleet) Stop() error {
-	f.heal()
+	f.clearFaults()
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	var first error
-	keep := func(err error) {
+	keepFirst := func(err error) {
 		if first == nil {
 			first = err
 		}
 	}
-	for number, one := range f.Hosts {
-		if !f.killed[number] {
-			keep(errors.Wrapf(one.Stop(ctx), "entry-%02d", number+1))
+	for number, part := range f.Hosts {
+		if !f.isKilled[number] {
+			keepFirst(errors.Wrapf(part.Stop(ctx), "entry-%02d", number+1))
 		}
 	}
-	for _, one := range f.Engines {
-		keep(one.Stop())
+	for _, part := range f.Engines {
+		keepFirst(part.Stop())
 	}
-	for _, one := range f.Services {
-		keep(one.Stop())
+	for _, part := range f.Services {
+		keepFirst(part.Stop())
 	}
 	if f.Weights != nil {
-		keep(f.Weights.Stop())
+		keepFirst(f.Weights.Stop())
 	}
 	if f.HostList != nil {
-		keep(f.HostList.Stop())
+		keepFirst(f.HostList.Stop())
 	}
 	if f.KeyValue != nil {
-		keep(f.KeyValue.Stop())
+		keepFirst(f.KeyValue.Stop())
 	}
 	return first
 }
 
-func (f *Fleet) heal() {
-	for _, one := range f.Engines {
-		one.Faults.Set(engine.Faults{})
+func (f *Fleet) clearFaults() {
+	for _, server := range f.Engines {
+		server.Faults.Set(engine.Faults{})
 	}
 	if f.KeyValue != nil {
 		f.KeyValue.SetFaults(etcd.Faults{})
--- a/internal/load/fleet/fleet_test.go
+++ b/internal/load/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-func TestSmallFleetServesALoad(t *testing.T) {
+func TestSmallFleetAnswersRequests(t *testing.T) {
 	size, found := sizes.Of(sizes.Kerlouan, 0.01)
 	require.True(t, found)
 	ctx := context.Background()
@@ -32,8 +32,8 @@
 	defer func() { require.NoError(t, running.Stop()) }()
 	before, err := running.Counters(ctx)
 	require.NoError(t, err)
-	declared := counters.Compare(&counters.Snapshot{}, before, 0, nil)
-	require.GreaterOrEqual(t, declared.Moves, len(size.Models), "the loads of the set-up are moves")
+	setup := counters.Compare(&counters.Snapshot{}, before, 0, nil)
+	require.GreaterOrEqual(t, setup.Moves, len(size.Models), "model loads during set-up count as moves")
 
 	plan := size.Plan()
 	plan.RequestsPerSecond = 20
--- a/internal/load/fleet/ready.go
+++ b/internal/load/fleet/ready.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	// pollPause is between two looks at whether the fleet is ready.
-	pollPause = 50 * time.Millisecond
-	bodyLimit = 1 << 20
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 50 * time.Millisecond
+	maxBodyBytes = 1 << 20
 )
 
-// client makes a new connection for each request: an idle one would hold up a
-// host that stops.
+// client opens a new connection for each request: an idle connection would delay
+// the shutdown of a host.
 var client = &http.Client{
 	Transport: &http.Transport{
 		DisableKeepAlives: true,
 	},
 }
 
-// poll waits until a condition holds. Its error is the last one of the condition.
-func poll(ctx context.Context, holds func() error) error {
+// poll calls condition until it returns nil. When the context ends first, poll
+// returns the last error of condition.
+func poll(ctx context.Context, condition func() error) error {
 	for {
-		err := holds()
+		err := condition()
 		if err == nil {
 			return nil
 		}
 		select {
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return errors.Wrap(err, "not ready in time")
+			return errors.Wrap(err, "fleet did not become ready in time")
 		}
 	}
 }
 
-// putDocument edits the team's document into force. A host that has just
-// started may not know the documents yet, so the edit is tried again.
+// putDocument creates the team's document through the first host. It retries, since
+// a host that has just started may not have received the documents yet.
 func (f *Fleet) putDocument(ctx context.Context) error {
 	text, err := teamdoc.Write(f.options.Size.Document())
 	if err != nil {
@@ -69,7 +70,7 @@
 		return errors.Wrap(err, "ask")
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, bodyLimit))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	if err != nil {
 		return errors.Wrap(err, "ask")
 	}
@@ -79,34 +80,35 @@
 	return nil
 }
 
-// awaitReady waits until the engines have all replicas that the document asks
-// for, with their adapters, and every host routes to each model.
+// awaitReady waits until the engines have all replicas that the document requires,
+// with their adapters, and every host routes requests to each model.
 func (f *Fleet) awaitReady(ctx context.Context) error {
-	if err := poll(ctx, f.loaded); err != nil {
+	if err := poll(ctx, f.checkReplicasReady); err != nil {
 		return err
 	}
 	var waiting tomb.Tomb
-	for _, one := range f.Hosts {
-		waiting.Go(func() error { return f.awaitHost(ctx, one) })
+	for _, running := range f.Hosts {
+		waiting.Go(func() error { return f.awaitHost(ctx, running) })
 	}
 	return waiting.Wait()
 }
 
-func (f *Fleet) awaitHost(ctx context.Context, one *host.Host) error {
-	if err := poll(ctx, func() error { return f.inForce(ctx, one) }); err != nil {
+func (f *Fleet) awaitHost(ctx context.Context, running *host.Host) error {
+	if err := poll(ctx, func() error { return f.checkDocumentInForce(ctx, running) }); err != nil {
 		return err
 	}
-	for _, name := range f.names() {
-		if err := poll(ctx, func() error { return f.probe(ctx, one.CallersAddress, name) }); err != nil {
+	for _, name := range f.servedNames() {
+		if err := poll(ctx, func() error { return f.probe(ctx, running.CallersAddress, name) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// inForce tells whether a host knows that all hosts have the document.
-func (f *Fleet) inForce(ctx context.Context, one *host.Host) error {
-	status, err := counters.ReadStatus(ctx, "http://"+one.OperatorsAddress, adminToken)
+// checkDocumentInForce returns nil once a host reports that all hosts have the
+// document.
+func (f *Fleet) checkDocumentInForce(ctx context.Context, running *host.Host) error {
+	status, err := counters.ReadStatus(ctx, "http://"+running.OperatorsAddress, adminToken)
 	if err != nil {
 		return err
 	}
@@ -116,11 +118,12 @@
 	return nil
 }
 
-// loaded tells which model is short of ready replicas with all adapters.
-func (f *Fleet) loaded() error {
+// checkReplicasReady returns an error that names a model or adapter with too few
+// ready replicas, or nil.
+func (f *Fleet) checkReplicasReady() error {
 	ready := make(map[string]int)
-	for _, one := range f.Engines {
-		report := one.Report()
+	for _, server := range f.Engines {
+		report := server.Report()
 		for _, resident := range report.Residents {
 			if !resident.Ready {
 				continue
@@ -134,19 +137,19 @@
 	}
 	for i := range f.options.Size.Models {
 		model := &f.options.Size.Models[i]
-		if have := ready[string(model.Name)]; have < model.Replicas {
-			return errors.Errorf("%s: %d of %d replicas are ready", model.Name, have, model.Replicas)
+		if numReady := ready[string(model.Name)]; numReady < model.Replicas {
+			return errors.Errorf("%s: %d of %d replicas are ready", model.Name, numReady, model.Replicas)
 		}
 		for _, adapter := range model.Adapters {
-			if have := ready[string(adapter)]; have < model.Replicas {
-				return errors.Errorf("%s: %d of %d replicas are ready", adapter, have, model.Replicas)
+			if numReady := ready[string(adapter)]; numReady < model.Replicas {
+				return errors.Errorf("%s: %d of %d replicas are ready", adapter, numReady, model.Replicas)
 			}
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) names() []string {
+func (f *Fleet) servedNames() []string {
 	var names []string
 	for i := range f.options.Size.Models {
 		model := &f.options.Size.Models[i]
@@ -158,7 +161,7 @@
 	return names
 }
 
-// probe asks a host for one token of a model.
+// probe requests one token of a model through a host.
 func (f *Fleet) probe(ctx context.Context, callers, name string) error {
 	body := `{"model":"` + name + `","max_tokens":1,"messages":[{"role":"user","content":"ready?"}]}`
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+callers+"/v1/chat/completions", bytes.NewReader([]byte(body)))
@@ -168,15 +171,15 @@
 	return errors.Wrap(expectOK(request), name)
 }
 
-// Counters reads the fleet's counters, moves from the hosts that run.
+// Counters reads the fleet's counters; moves come from the hosts that are not killed.
 func (f *Fleet) Counters(ctx context.Context) (*counters.Snapshot, error) {
 	reader := counters.Reader{
 		Token:   adminToken,
-		Servers: f.servers,
+		Servers: f.serverAddresses,
 	}
-	for number, one := range f.Hosts {
-		if !f.killed[number] {
-			reader.Statuses = append(reader.Statuses, "http://"+one.OperatorsAddress)
+	for number, running := range f.Hosts {
+		if !f.isKilled[number] {
+			reader.Statuses = append(reader.Statuses, "http://"+running.OperatorsAddress)
 		}
 	}
 	return reader.Read(ctx)
