--- a/internal/load/experiment/experiment_test.go
+++ b/internal/load/experiment/experiment_test.go
@@ -86,5 +86,5 @@
 		require.Positive(t, summary.Attained)
 		require.Zero(t, summary.Foreign+summary.Duplicates+summary.Fleet.RunsOfRefused)
 	}
-	require.Greater(t, report.Outcomes[0].Summary.Whole.Max, size.Pace.PromiseFirstToken, "nothing has hung")
+	require.Greater(t, report.Outcomes[0].Summary.Whole.Max, size.Timing.PromiseFirstToken, "nothing has hung")
 }
--- a/internal/load/fleet/fleet.go
+++ b/internal/load/fleet/fleet.go
@@ -156,8 +156,8 @@
 		server := engine.New(engine.Options{
 			Name:           name,
 			Memory:         size.Memory,
-			FirstTokenTime: size.Pace.FirstToken,
-			TimePerToken:   size.Pace.PerToken,
+			FirstTokenTime: size.Timing.FirstToken,
+			TimePerToken:   size.Timing.PerToken,
 			WeightStore:    f.weightStore,
 		})
 		f.Engines = append(f.Engines, server)
--- a/internal/load/sizes/plan.go
+++ b/internal/load/sizes/plan.go
@@ -8,22 +8,23 @@
 	"cicadaloom/internal/load/demand"
 )
 
-// How the requests of a plan are made up.
+// Defaults of the load plans.
 const (
-	timeout         = 5 * time.Second
+	requestTimeout  = 5 * time.Second
 	adapterPercent  = 40
 	streamedPercent = 80
-	// Every request to the service has a key; some callers ask twice.
-	servicePromise = 250 * time.Millisecond
-	allPercent     = 100
-	twicePercent   = 5
-	prefixCount    = 8
-	prefixWords    = 120
-	prefixPercent  = 60
-	version        = "1"
+	servicePromise  = 250 * time.Millisecond
+	// All requests to the service have an idempotency key, and twicePercent of them
+	// are sent twice.
+	keyedPercent  = 100
+	twicePercent  = 5
+	prefixCount   = 8
+	prefixWords   = 120
+	prefixPercent = 60
+	modelVersion  = "1"
 )
 
-// Plan gives the load of an ordinary day.
+// Plan returns the load plan of an ordinary day: a constant rate.
 func (s *Size) Plan() demand.Plan {
 	plan := demand.Plan{
 		Name:              string(s.Name),
@@ -34,8 +35,8 @@
 			For:    time.Second,
 			Factor: 1,
 		},
-		Timeout: timeout,
-		Lengths: lengths(),
+		Timeout: requestTimeout,
+		Lengths: messageLengths(),
 		Prefixes: demand.Prefixes{
 			Count:   prefixCount,
 			Words:   prefixWords,
@@ -51,7 +52,7 @@
 					FirstToken: servicePromise,
 				},
 				Keys: demand.IdempotencyKeys{
-					Percent:      allPercent,
+					Percent:      keyedPercent,
 					TwicePercent: twicePercent,
 				},
 			},
@@ -76,7 +77,7 @@
 	return plan
 }
 
-func lengths() []demand.Length {
+func messageLengths() []demand.Length {
 	return []demand.Length{
 		{
 			Words:  15,
@@ -98,12 +99,12 @@
 
 func (s *Size) promise() document.Promise {
 	return document.Promise{
-		FirstToken:    s.Pace.PromiseFirstToken,
-		BetweenTokens: s.Pace.PromiseBetweenTokens,
+		FirstToken:    s.Timing.PromiseFirstToken,
+		BetweenTokens: s.Timing.PromiseBetweenTokens,
 	}
 }
 
-// Document gives the team's document.
+// Document returns the team's document.
 func (s *Size) Document() *document.Document {
 	doc := document.Document{
 		Team:         s.Name,
@@ -125,15 +126,15 @@
 		})
 	}
 	for i := range s.Models {
-		doc.Models = append(doc.Models, s.declared(&s.Models[i]))
+		doc.Models = append(doc.Models, s.documentModel(&s.Models[i]))
 	}
 	return &doc
 }
 
-func (s *Size) declared(model *Model) document.Model {
-	declared := document.Model{
+func (s *Size) documentModel(model *Model) document.Model {
+	entry := document.Model{
 		Name:        model.Name,
-		Version:     version,
+		Version:     modelVersion,
 		Memory:      model.Memory,
 		Replicas:    model.Replicas,
 		MaxReplicas: model.MaxReplicas,
@@ -141,11 +142,11 @@
 		Promise:     s.promise(),
 	}
 	for _, adapter := range model.Adapters {
-		declared.Adapters = append(declared.Adapters, document.Adapter{
+		entry.Adapters = append(entry.Adapters, document.Adapter{
 			Name:    adapter,
-			Version: version,
+			Version: modelVersion,
 			Memory:  adapterMemory,
 		})
 	}
-	return declared
+	return entry
 }
--- a/internal/load/sizes/sizes.go
+++ b/internal/load/sizes/sizes.go
@@ -1,17 +1,20 @@
-// Package sizes has the users' sizes: the team document, the load and the fleet
-// of each, whole or scaled down to what one machine can carry.
+// Package sizes describes the installation of each user: how many hosts, engines and
+// models the fleet has, the team document, and the load plan. It can be scaled down
+// to what one machine can run. Package fleet starts a fleet of a Size; the load tool
+// and package experiment take plans from it. All functions are safe for concurrent
+// use.
 //
 // # Usage
 //
 //	size, found := sizes.Of("kerlouan", 0.5)
 //	doc, plan := size.Document(), size.Plan()
 //
-// # Source
+// # Where the values come from
 //
-// Numbers of models, adapters, replicas, entry hosts and data centres are those
-// of the users' brief. What it leaves open is set here: accelerators of 80 GiB,
-// how the requests spread over the models, their lengths, and the rate, which
-// takes about half of what the engines can do.
+// Numbers of models, adapters, replicas, entry hosts and data centres are the users'
+// requirements. The other values are chosen here: accelerators of 80 GiB, the
+// distribution of requests over the models, their lengths, and the rate, which uses
+// about half of the capacity of the engines.
 package sizes
 
 import (
@@ -23,40 +26,43 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// Names of the users.
+// The names of the users.
 const (
 	Kerlouan = "kerlouan"
 	Nour     = "nour"
 )
 
-// Size is one user's size.
+// Size describes the fleet and the load of one user.
 type Size struct {
 	Name   ident.TeamName
 	Region ident.Region
-	// DataCentres are those of Region; hosts and servers stand in them in turn.
+	// DataCentres are those of Region; hosts and servers are assigned to them round
+	// robin.
 	DataCentres []ident.DataCentre
 	Hosts       int
 	Engines     int
-	Memory      unit.Bytes
-	Models      []Model
-	Classes     []Class
-	Service     Service
-	// RequestsPerSecond is what callers ask for on an ordinary day.
+	// Memory is that of each engine.
+	Memory  unit.Bytes
+	Models  []Model
+	Classes []Class
+	Service Service
+	// RequestsPerSecond is the request rate of an ordinary day.
 	RequestsPerSecond float64
-	// StreamedPercent of the chats' answers are streamed.
+	// StreamedPercent of the chats ask for a streamed answer.
 	StreamedPercent int
-	Pace            Pace
+	Timing          Timing
 }
 
-// Pace is how fast an engine is, and what is promised of it.
-type Pace struct {
+// Timing is how fast an engine is, and which times are promised to callers.
+type Timing struct {
 	FirstToken           time.Duration
 	PerToken             time.Duration
 	PromiseFirstToken    time.Duration
 	PromiseBetweenTokens time.Duration
 }
 
-// Model is a model with its adapters.
+// Model is a model with its adapters. Weight is its share of the requests, relative to
+// the other weights.
 type Model struct {
 	Name        ident.ModelName
 	Memory      unit.Bytes
@@ -66,7 +72,8 @@
 	Weight      float64
 }
 
-// Class is a class of callers.
+// Class is a class of callers: its share in the team document, and its weight among
+// the requests.
 type Class struct {
 	Name   ident.ClassName
 	Share  int
@@ -81,32 +88,35 @@
 	Weight   float64
 }
 
-// The sizes that both users have.
+// Values that both users have at scale 1. They are per fleet, but mainReplicas and
+// serviceReplicas are of the main model and of the plain service, and memory is per
+// engine, model and adapter.
 const (
-	hosts           = 7
-	engines         = 24
-	adapters        = 75
+	numHosts        = 7
+	numEngines      = 24
+	numAdapters     = 75
 	mainReplicas    = 12
 	serviceReplicas = 3
-	memory          = 80 * unit.Gibibyte
+	engineMemory    = 80 * unit.Gibibyte
 	mainMemory      = 30 * unit.Gibibyte
 	otherMemory     = 20 * unit.Gibibyte
 	adapterMemory   = unit.Gibibyte / 4
-	// perEngine is the rate for each engine: half of 8 slots at 150 ms.
-	perEngine = 26
+	// requestsPerSecondPerEngine is half of what 8 slots can serve at 150 ms an answer.
+	requestsPerSecondPerEngine = 26
 )
 
-// Parts of the requests: 45 of 100 go to the main model, 10 to the service.
+// Weights of the requests: 45 of 100 go to the main model, 45 to the other models and
+// 10 to the service.
 const (
 	mainWeight    = 45
 	othersWeight  = 45
 	serviceWeight = 10
 )
 
-// defaultPace is that of the stand-in's engines, and a promise that an engine
-// keeps which is not overloaded.
-func defaultPace() Pace {
-	return Pace{
+// defaultTiming returns the speed of the simulated engines, and promised times that an
+// engine keeps unless it is overloaded.
+func defaultTiming() Timing {
+	return Timing{
 		FirstToken:           40 * time.Millisecond,
 		PerToken:             5 * time.Millisecond,
 		PromiseFirstToken:    250 * time.Millisecond,
@@ -114,23 +124,23 @@
 	}
 }
 
-// Of gives a user's size, scaled: at 1 it is as the brief has it.
+// Of returns the size of a user, scaled. At scale 1 it matches the users' requirements.
 func Of(user string, scale float64) (Size, bool) {
 	switch user {
 	case Kerlouan:
-		return kerlouan(scale), true
+		return kerlouanSize(scale), true
 	case Nour:
-		return nour(scale), true
+		return nourSize(scale), true
 	}
 	return Size{}, false
 }
 
-func kerlouan(scale float64) Size {
-	size := common(scale)
+func kerlouanSize(scale float64) Size {
+	size := commonSize(scale)
 	size.Name = Kerlouan
 	size.Region = "finistere"
 	size.DataCentres = []ident.DataCentre{"brest-a", "quimper-a"}
-	size.Models = models("briefing", "report", 15, scale)
+	size.Models = makeModels("briefing", "report", 15, scale)
 	size.Classes = []Class{
 		{
 			Name:   "Science",
@@ -153,12 +163,12 @@
 	return size
 }
 
-func nour(scale float64) Size {
-	size := common(scale)
+func nourSize(scale float64) Size {
+	size := commonSize(scale)
 	size.Name = Nour
 	size.Region = "amman"
 	size.DataCentres = []ident.DataCentre{"amman-abdali", "amman-marka"}
-	size.Models = models("draft", "aftercare", 20, scale)
+	size.Models = makeModels("draft", "aftercare", 20, scale)
 	size.Classes = []Class{
 		{
 			Name:   "Chair",
@@ -176,33 +186,33 @@
 	return size
 }
 
-func common(scale float64) Size {
+func commonSize(scale float64) Size {
 	size := Size{
-		Hosts:   scaled(hosts, scale, 2),
-		Engines: scaled(engines, scale, 3),
-		Memory:  memory,
+		Hosts:   scaled(numHosts, scale, 2),
+		Engines: scaled(numEngines, scale, 3),
+		Memory:  engineMemory,
 		Service: Service{
 			Replicas: scaled(serviceReplicas, scale, 2),
 			Weight:   serviceWeight,
 		},
 		StreamedPercent: streamedPercent,
-		Pace:            defaultPace(),
+		Timing:          defaultTiming(),
 	}
-	size.RequestsPerSecond = float64(size.Engines * perEngine)
+	size.RequestsPerSecond = float64(size.Engines * requestsPerSecondPerEngine)
 	return size
 }
 
-// models makes the main model and the others, whose weights fall as 1/n.
-func models(first, others string, number int, scale float64) []Model {
-	count := scaled(float64(number), scale, 3)
-	each := scaled(float64(adapters)/float64(number), scale, 1)
+// makeModels returns the main model and the others, whose weights decrease as 1/n.
+func makeModels(first, others string, numModels int, scale float64) []Model {
+	count := scaled(float64(numModels), scale, 3)
+	adaptersPerModel := scaled(float64(numAdapters)/float64(numModels), scale, 1)
 	all := []Model{
 		{
 			Name:        ident.ModelName(first),
 			Memory:      mainMemory,
 			Replicas:    scaled(mainReplicas, scale, 2),
 			MaxReplicas: scaled(mainReplicas+2, scale, 3),
-			Adapters:    adaptersOf(first, each),
+			Adapters:    adapterNames(first, adaptersPerModel),
 			Weight:      mainWeight,
 		},
 	}
@@ -217,14 +227,14 @@
 			Memory:      otherMemory,
 			Replicas:    2,
 			MaxReplicas: 3,
-			Adapters:    adaptersOf(name, each),
+			Adapters:    adapterNames(name, adaptersPerModel),
 			Weight:      othersWeight / harmonic / float64(n),
 		})
 	}
 	return all
 }
 
-func adaptersOf(model string, count int) []ident.AdapterName {
+func adapterNames(model string, count int) []ident.AdapterName {
 	names := make([]ident.AdapterName, 0, count)
 	for n := range count {
 		names = append(names, ident.AdapterName(fmt.Sprintf("%s-a%d", model, n+1)))
@@ -232,6 +242,6 @@
 	return names
 }
 
-func scaled(whole, scale float64, least int) int {
-	return max(int(math.Round(whole*scale)), least)
+func scaled(unscaled, scale float64, minimum int) int {
+	return max(int(math.Round(unscaled*scale)), minimum)
 }
--- a/internal/load/sizes/sizes_test.go
+++ b/internal/load/sizes/sizes_test.go
@@ -10,7 +10,7 @@
 	"cicadaloom/internal/load/demand"
 )
 
-func TestSizesAreThoseOfTheBrief(t *testing.T) {
+func TestUnscaledSizesMatchRequirements(t *testing.T) {
 	for user, number := range map[string]int{Kerlouan: 15, Nour: 20} {
 		size, found := Of(user, 1)
 		require.True(t, found)
@@ -28,7 +28,7 @@
 	require.False(t, found)
 }
 
-func TestDocumentAndPlanAreAcceptedAtAnyScale(t *testing.T) {
+func TestDocumentAndPlanAreValidAtAnyScale(t *testing.T) {
 	for _, user := range []string{Kerlouan, Nour} {
 		for _, scale := range []float64{0.01, 0.25, 0.5, 1, 1.5} {
 			size, _ := Of(user, scale)
