--- a/internal/report/burnpage/burnpage.go
+++ b/internal/report/burnpage/burnpage.go
@@ -1,5 +1,6 @@
-// Package burnpage renders the report on service-level burn as one HTML page
-// that needs nothing else: its plots are drawn into it.
+// Package burnpage renders the report of error budget burn rates as one
+// self-contained HTML page; its plots are inline SVG. The operator interface of an
+// entry host calls it.
 //
 // # Usage
 //
@@ -11,9 +12,10 @@
 //	})
 //	err = os.WriteFile("burn.html", page, 0o644)
 //
-// The page has a verdict for each team at the top, then the last hour minute by
-// minute, then a table of every team, class and model in every window with the
-// fastest burn first.
+// For each team the page has a sentence on the last hour and a plot of it by the
+// minute. Below that it has a table for each window, with a row for each team, class
+// and model, ordered by falling burn rate. Render keeps no state and may be called
+// concurrently.
 package burnpage
 
 import (
@@ -36,22 +38,24 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// Burn rates that the page marks. The fast one is the usual page-somebody
-// threshold: it spends 2% of a month's budget in an hour.
+// Burn rates from which the page highlights a row. fastBurnRate is the usual
+// threshold for paging an operator: it uses 2% of a month's error budget in an hour.
+// Above slowBurnRate the budget does not last for the window.
 const (
-	fastBurn = 14.4
-	slowBurn = 1
+	fastBurnRate = 14.4
+	slowBurnRate = 1
 )
 
-// Content is what a page shows.
+// Content is the data that a page shows.
 type Content struct {
 	At       time.Time
 	Lines    []burn.Line
 	Timeline []burn.TeamMinute
-	// Missing are hosts whose counts are not in the lines.
+	// Missing are the hosts whose counts are not included in Lines.
 	Missing []ident.HostID
 }
 
+// page is the input of the template, which refers to its fields by name.
 type page struct {
 	At        string
 	Objective string
@@ -84,7 +88,7 @@
 	Mark     string
 }
 
-// Render gives the page.
+// Render returns the page as HTML.
 func Render(report Content) ([]byte, error) {
 	lines := report.Lines
 	content := page{
@@ -94,15 +98,15 @@
 	if len(report.Missing) > 0 {
 		content.Missing = burn.FormatMissingHosts(report.Missing)
 	}
-	for _, name := range teamsOf(lines) {
-		shown, err := teamOf(name, &report)
+	for _, name := range teamNames(lines) {
+		section, err := buildTeam(name, &report)
 		if err != nil {
 			return nil, err
 		}
-		content.Teams = append(content.Teams, shown)
+		content.Teams = append(content.Teams, section)
 	}
 	for _, span := range burn.Windows {
-		content.Windows = append(content.Windows, windowOf(span, lines))
+		content.Windows = append(content.Windows, buildWindow(span, lines))
 	}
 	var out bytes.Buffer
 	if err := pageTemplate.Execute(&out, content); err != nil {
@@ -111,7 +115,7 @@
 	return out.Bytes(), nil
 }
 
-func teamsOf(lines []burn.Line) []ident.TeamName {
+func teamNames(lines []burn.Line) []ident.TeamName {
 	seen := make(map[ident.TeamName]bool)
 	var names []ident.TeamName
 	for i := range lines {
@@ -124,32 +128,32 @@
 	return names
 }
 
-func teamOf(name ident.TeamName, report *Content) (team, error) {
-	var own []burn.TeamMinute
+func buildTeam(name ident.TeamName, report *Content) (team, error) {
+	var minutes []burn.TeamMinute
 	for i := range report.Timeline {
 		if report.Timeline[i].Team == name {
-			own = append(own, report.Timeline[i])
+			minutes = append(minutes, report.Timeline[i])
 		}
 	}
-	drawn, err := plotOf(report.At, own)
+	svg, err := renderPlot(report.At, minutes)
 	if err != nil {
 		return team{}, err
 	}
-	worst := worstOf(name, report.Lines)
+	worst := worstLine(name, report.Lines)
 	return team{
 		Name:    name,
-		Class:   markOf(worst.BurnRate()),
-		Plot:    drawn,
-		Verdict: verdictOf(&worst),
+		Class:   severity(worst.BurnRate()),
+		Plot:    svg,
+		Verdict: verdictText(&worst),
 	}, nil
 }
 
-// verdictOf says in a sentence how a team's worst line of the last hour stands.
-func verdictOf(worst *burn.Line) string {
+// verdictText describes the worst line of a team in the last hour in a sentence.
+func verdictText(worst *burn.Line) string {
 	switch {
 	case worst.Counts.Total() == 0:
 		return "The team had no requests in the last hour"
-	case worst.BurnRate() <= slowBurn:
+	case worst.BurnRate() <= slowBurnRate:
 		return "The team stayed within its budget in the last hour"
 	default:
 		return fmt.Sprintf("%s burns its budget %.1f times too fast in the last hour: %d of %d requests of class %s were not answered in time, most of these were %s",
@@ -157,10 +161,10 @@
 	}
 }
 
-// verdictWindow is the window that the verdict at the top is about.
+// verdictWindow is the name of the window that the verdicts describe.
 const verdictWindow = "1h"
 
-func worstOf(name ident.TeamName, lines []burn.Line) burn.Line {
+func worstLine(name ident.TeamName, lines []burn.Line) burn.Line {
 	var worst burn.Line
 	for i := range lines {
 		if lines[i].Team != name || lines[i].Window != verdictWindow {
@@ -173,27 +177,27 @@
 	return worst
 }
 
-func windowOf(span burn.Window, lines []burn.Line) window {
-	shown := window{
-		Name: inWords(span.Span),
+func buildWindow(span burn.Window, lines []burn.Line) window {
+	section := window{
+		Name: spanName(span.Span),
 	}
-	var own []burn.Line
+	var selected []burn.Line
 	for i := range lines {
 		if lines[i].Window == span.Name {
-			own = append(own, lines[i])
+			selected = append(selected, lines[i])
 		}
 	}
-	sort.SliceStable(own, func(i, j int) bool { return own[i].BurnRate() > own[j].BurnRate() })
-	for i := range own {
-		shown.Lines = append(shown.Lines, lineOf(&own[i]))
+	sort.SliceStable(selected, func(i, j int) bool { return selected[i].BurnRate() > selected[j].BurnRate() })
+	for i := range selected {
+		section.Lines = append(section.Lines, buildLine(&selected[i]))
 	}
-	return shown
+	return section
 }
 
 const day = 24 * time.Hour
 
-// inWords names a window's span for a heading.
-func inWords(span time.Duration) string {
+// spanName returns the length of a window in words, for a heading.
+func spanName(span time.Duration) string {
 	switch {
 	case span == time.Hour:
 		return "hour"
@@ -206,7 +210,7 @@
 	}
 }
 
-func lineOf(l *burn.Line) line {
+func buildLine(l *burn.Line) line {
 	return line{
 		Team:     l.Team,
 		Class:    l.Class,
@@ -216,15 +220,15 @@
 		Rate:     fmt.Sprintf("%.1f", l.BurnRate()),
 		Left:     fmt.Sprintf("%.0f%%", 100*l.BudgetLeft()),
 		Cause:    l.MainCause(),
-		Mark:     markOf(l.BurnRate()),
+		Mark:     severity(l.BurnRate()),
 	}
 }
 
-func markOf(rate float64) string {
+func severity(rate float64) string {
 	switch {
-	case rate >= fastBurn:
+	case rate >= fastBurnRate:
 		return "fast"
-	case rate > slowBurn:
+	case rate > slowBurnRate:
 		return "slow"
 	default:
 		return "fine"
--- a/internal/report/burnpage/burnpage_test.go
+++ b/internal/report/burnpage/burnpage_test.go
@@ -13,8 +13,9 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-// An hour in which one model of two burns too fast for its second half.
-func badHour() []burn.Row {
+// makeBadHour returns an hour of counts in which one of two models burns its budget
+// too fast in the second half.
+func makeBadHour() []burn.Row {
 	var machine burn.Machine
 	for minute := range 60 {
 		at := noon.Add(time.Duration(minute-59) * time.Minute)
@@ -41,8 +42,8 @@
 	}
 }
 
-func TestPageNamesWhatBurns(t *testing.T) {
-	rows := badHour()
+func TestPageShowsFastestBurningModel(t *testing.T) {
+	rows := makeBadHour()
 	page, err := Render(Content{
 		At:       noon,
 		Lines:    burn.Report(noon, rows),
@@ -63,8 +64,9 @@
 	require.NotContains(t, text, "http://cdn")
 }
 
-// A team was last asked yesterday: the verdict on the last hour must not praise it.
-func TestPageOfAQuietTeam(t *testing.T) {
+// The last requests of the team were yesterday: the page must not say that it stayed
+// within its budget in the last hour.
+func TestPageOfIdleTeamMakesNoClaimOnLastHour(t *testing.T) {
 	var machine burn.Machine
 	machine.Count(noon.Add(-24*time.Hour), sample("drift-briefing", burn.Failed))
 	rows := machine.Rows(noon)
@@ -78,7 +80,7 @@
 	require.NotContains(t, string(page), "<svg")
 }
 
-func TestPageWithoutRequests(t *testing.T) {
+func TestPageWithoutCounts(t *testing.T) {
 	page, err := Render(Content{
 		At: noon,
 	})
@@ -87,8 +89,8 @@
 	require.Contains(t, string(page), "No requests have been counted yet")
 }
 
-// A name in a report is text of a document: it must not become markup.
-func TestNamesAreEscaped(t *testing.T) {
+// Names come from the teams' documents and must not be interpreted as HTML.
+func TestNamesAreEscapedInHTML(t *testing.T) {
 	lines := []burn.Line{
 		{
 			Key: burn.Key{
--- a/internal/report/burnpage/plot.go
+++ b/internal/report/burnpage/plot.go
@@ -19,18 +19,20 @@
 )
 
 const (
-	plotWidth  = 26 * vg.Centimeter
-	plotHeight = 7 * vg.Centimeter
-	pointSize  = 2.5
-	fullShare  = 100
-	headroom   = 2
-	// shareStep is between two marks of the axis, and leastSpan what it spans at
-	// the least: without it a dip of one in a hundred would look like an outage.
-	shareStep = 10
-	leastSpan = 20
-	timeStep  = 10 * time.Minute
-	// A label nearer to the right edge than this would be cut by it.
-	labelRoom = 2 * time.Minute
+	plotWidth       = 26 * vg.Centimeter
+	plotHeight      = 7 * vg.Centimeter
+	pointRadius     = 2.5
+	fullPercent     = 100
+	headroomPercent = 2
+	// percentStep is the distance of two ticks of the vertical axis. minSpanPercent
+	// is the minimum range of that axis: with less, a dip of one in a hundred would
+	// look like an outage.
+	percentStep      = 10
+	minSpanPercent   = 20
+	timeTickInterval = 10 * time.Minute
+	// minLabelDistance is the minimum distance of a tick label from the right edge:
+	// nearer, the edge cuts it.
+	minLabelDistance = 2 * time.Minute
 )
 
 var (
@@ -38,29 +40,30 @@
 	objectiveColour = color.RGBA{R: 0xc0, G: 0x39, B: 0x2b, A: 0xff}
 )
 
-// plotOf draws the share answered in time, minute by minute, and the objective.
-func plotOf(at time.Time, slices []burn.TeamMinute) (template.HTML, error) {
-	if len(slices) == 0 {
+// renderPlot draws the share of requests answered in time for each minute of the
+// last hour, and the objective, as SVG. Without minutes it returns no plot.
+func renderPlot(at time.Time, minutes []burn.TeamMinute) (template.HTML, error) {
+	if len(minutes) == 0 {
 		return "", nil
 	}
 	drawing := plot.New()
 	drawing.Y.Label.Text = "in time, %"
 	drawing.X.Label.Text = "UTC"
-	drawing.Y.Max = fullShare + headroom
-	points := make(plotter.XYs, 0, len(slices))
-	for i := range slices {
-		points = append(points, pointOf(&slices[i]))
+	drawing.Y.Max = fullPercent + headroomPercent
+	points := make(plotter.XYs, 0, len(minutes))
+	for i := range minutes {
+		points = append(points, minutePoint(&minutes[i]))
 	}
-	if err := addShare(drawing, points); err != nil {
+	if err := addShareLine(drawing, points); err != nil {
 		return "", err
 	}
-	// The whole hour, also where only its last minute had requests.
+	// Always show the whole hour, even if only its last minute had requests.
 	drawing.X.Min = float64(at.Add(-burn.TimelineSpan).Unix())
 	drawing.X.Max = float64(at.Unix())
 	drawing.X.Tick.Marker = timeTicks(at)
-	drawing.Y.Min = leastShown(points)
-	drawing.Y.Tick.Marker = shareTicks(drawing.Y.Min)
-	if err := addObjective(drawing); err != nil {
+	drawing.Y.Min = axisMinimum(points)
+	drawing.Y.Tick.Marker = percentTicks(drawing.Y.Min)
+	if err := addObjectiveLine(drawing); err != nil {
 		return "", err
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
@@ -69,22 +72,22 @@
 	if _, err := canvas.WriteTo(&svg); err != nil {
 		return "", errors.Wrap(err, "plot")
 	}
-	// The plotting library makes this text from numbers alone.
-	return template.HTML(withoutProlog(svg.Bytes())), nil
+	// The SVG contains no caller-supplied text, so it needs no escaping.
+	return template.HTML(trimProlog(svg.Bytes())), nil
 }
 
-// leastShown gives where the axis begins: at a mark below every point.
-func leastShown(points plotter.XYs) float64 {
-	least := float64(fullShare - leastSpan)
+// axisMinimum returns the start of the vertical axis: a tick at or below every point.
+func axisMinimum(points plotter.XYs) float64 {
+	minimum := float64(fullPercent - minSpanPercent)
 	for _, point := range points {
-		least = min(least, shareStep*math.Floor(point.Y/shareStep))
+		minimum = min(minimum, percentStep*math.Floor(point.Y/percentStep))
 	}
-	return least
+	return minimum
 }
 
-func shareTicks(from float64) plot.ConstantTicks {
+func percentTicks(from float64) plot.ConstantTicks {
 	var ticks plot.ConstantTicks
-	for share := from; share <= fullShare; share += shareStep {
+	for share := from; share <= fullPercent; share += percentStep {
 		ticks = append(ticks, plot.Tick{
 			Value: share,
 			Label: strconv.Itoa(int(share)),
@@ -95,12 +98,12 @@
 
 func timeTicks(at time.Time) plot.ConstantTicks {
 	var ticks plot.ConstantTicks
-	first := at.Add(-burn.TimelineSpan).Truncate(timeStep).Add(timeStep)
-	for mark := first; !mark.After(at); mark = mark.Add(timeStep) {
+	first := at.Add(-burn.TimelineSpan).Truncate(timeTickInterval).Add(timeTickInterval)
+	for mark := first; !mark.After(at); mark = mark.Add(timeTickInterval) {
 		tick := plot.Tick{
 			Value: float64(mark.Unix()),
 		}
-		if at.Sub(mark) >= labelRoom {
+		if at.Sub(mark) >= minLabelDistance {
 			tick.Label = mark.UTC().Format("15:04")
 		}
 		ticks = append(ticks, tick)
@@ -108,17 +111,17 @@
 	return ticks
 }
 
-func pointOf(slice *burn.TeamMinute) plotter.XY {
+func minutePoint(slice *burn.TeamMinute) plotter.XY {
 	line := burn.Line{
 		Counts: slice.Counts,
 	}
 	return plotter.XY{
 		X: float64(slice.Start.Unix()),
-		Y: fullShare * line.InTimeShare(),
+		Y: fullPercent * line.InTimeShare(),
 	}
 }
 
-func addShare(drawing *plot.Plot, points plotter.XYs) error {
+func addShareLine(drawing *plot.Plot, points plotter.XYs) error {
 	line, dots, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return errors.Wrap(err, "plot")
@@ -126,20 +129,20 @@
 	line.Color = shareColour
 	dots.Color = shareColour
 	dots.Shape = draw.CircleGlyph{}
-	dots.Radius = pointSize
+	dots.Radius = pointRadius
 	drawing.Add(plotter.NewGrid(), line, dots)
 	return nil
 }
 
-func addObjective(drawing *plot.Plot) error {
+func addObjectiveLine(drawing *plot.Plot) error {
 	objective, err := plotter.NewLine(plotter.XYs{
 		{
 			X: drawing.X.Min,
-			Y: fullShare * burn.Objective,
+			Y: fullPercent * burn.Objective,
 		},
 		{
 			X: drawing.X.Max,
-			Y: fullShare * burn.Objective,
+			Y: fullPercent * burn.Objective,
 		},
 	})
 	if err != nil {
@@ -151,8 +154,9 @@
 	return nil
 }
 
-// withoutProlog leaves out what may not stand inside an HTML page.
-func withoutProlog(svg []byte) []byte {
+// trimProlog removes what precedes the svg element, which is not allowed inside an
+// HTML page.
+func trimProlog(svg []byte) []byte {
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
 		return svg[at:]
 	}
