--- a/internal/load/counters/counters.go
+++ b/internal/load/counters/counters.go
@@ -78,7 +78,7 @@
 }
 
 // Read reads all counters. A host that does not answer is left out; any other
-// failure is an error.
+// failure, also of a server, is an error.
 func (r *Reader) Read(ctx context.Context) (*Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -163,7 +163,7 @@
 // errUnreachable reports that the request got no response.
 var errUnreachable = errors.New("no answer")
 
-func fetchJSON(ctx context.Context, url, token string, into any) error {
+func fetchJSON(ctx context.Context, url, token string, target any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "counters")
@@ -183,7 +183,7 @@
 	if response.StatusCode != http.StatusOK {
 		return errors.Errorf("read counters at %s: status %d: %s", url, response.StatusCode, body)
 	}
-	return errors.Wrapf(json.Unmarshal(body, into), "decode counters at %s", url)
+	return errors.Wrapf(json.Unmarshal(body, target), "decode counters at %s", url)
 }
 
 // Compare returns what a fleet did between two snapshots. delivered is the number
--- a/internal/load/demand/arrivals.go
+++ b/internal/load/demand/arrivals.go
@@ -116,6 +116,7 @@
 	return 1
 }
 
+// rate returns the rate of an endpoint at a time since the start of the span.
 func (a *Arrivals) rate(target *endpoint, since time.Duration) float64 {
 	if !target.followsCurve {
 		return target.rate
@@ -215,6 +216,7 @@
 	a.pendingRepeat = &request
 }
 
+// drawPercent returns true with a probability of percent in a hundred.
 func (a *Arrivals) drawPercent(percent int) bool {
 	return a.random.IntN(fullPercent) < percent
 }
--- a/internal/load/experiment/cases.go
+++ b/internal/load/experiment/cases.go
@@ -127,6 +127,7 @@
 	}
 }
 
+// delayReports returns a fault that makes the reports of all engines as old as lag.
 func delayReports(lag time.Duration) func(*fleet.Fleet, ident.ModelName) error {
 	return func(running *fleet.Fleet, _ ident.ModelName) error {
 		for _, server := range running.Engines {
--- a/internal/load/fleet/fleet.go
+++ b/internal/load/fleet/fleet.go
@@ -64,8 +64,8 @@
 	MovesWeight float64
 	// Log is the logger of the hosts; nil discards their log.
 	Log *zap.Logger
-	// LimitedLoadRate gives the weight store its default rate of loads, that of the
-	// platform, in place of a fast one.
+	// LimitedLoadRate gives the weight store its default load rate, which is that of
+	// the platform, instead of a fast one.
 	LimitedLoadRate bool
 }
 
--- a/internal/load/fleet/ready.go
+++ b/internal/load/fleet/ready.go
@@ -64,6 +64,7 @@
 	})
 }
 
+// expectOK sends a request and returns an error unless the status is 200.
 func expectOK(request *http.Request) error {
 	response, err := client.Do(request)
 	if err != nil {
@@ -162,9 +163,9 @@
 }
 
 // probe requests one token of a model through a host.
-func (f *Fleet) probe(ctx context.Context, callers, name string) error {
+func (f *Fleet) probe(ctx context.Context, address, name string) error {
 	body := `{"model":"` + name + `","max_tokens":1,"messages":[{"role":"user","content":"ready?"}]}`
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+callers+"/v1/chat/completions", bytes.NewReader([]byte(body)))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", bytes.NewReader([]byte(body)))
 	if err != nil {
 		return errors.Wrap(err, "probe")
 	}
--- a/internal/load/openloop/answer.go
+++ b/internal/load/openloop/answer.go
@@ -49,8 +49,8 @@
 }
 
 // readUnstreamed reads an unstreamed answer or a refusal into the record.
-func readUnstreamed(record *result.Record, from io.Reader) {
-	body, err := io.ReadAll(io.LimitReader(from, maxAnswerBytes))
+func readUnstreamed(record *result.Record, bodyReader io.Reader) {
+	body, err := io.ReadAll(io.LimitReader(bodyReader, maxAnswerBytes))
 	record.TotalTime = time.Since(record.Request.At)
 	record.FirstToken = record.TotalTime
 	if record.Status >= http.StatusBadRequest {
--- a/internal/load/openloop/openloop.go
+++ b/internal/load/openloop/openloop.go
@@ -78,38 +78,38 @@
 // Run sends all arrivals and returns when the last request has ended. If the context
 // ends first, it abandons the open requests, sends no more and returns the error of
 // the context.
-func (l *Load) Run(ctx context.Context, arrivals Arrivals) error {
-	if len(l.Targets) == 0 {
+func (s *Load) Run(ctx context.Context, arrivals Arrivals) error {
+	if len(s.Targets) == 0 {
 		return errors.New("targets: found none, allowed at least one")
 	}
-	if l.MaxOpen <= 0 {
-		l.MaxOpen = DefaultMaxOpen
+	if s.MaxOpen <= 0 {
+		s.MaxOpen = DefaultMaxOpen
 	}
 	transport := &http.Transport{
 		DialContext: (&net.Dialer{
 			Timeout: dialTimeout,
 		}).DialContext,
-		MaxIdleConnsPerHost: l.MaxOpen,
+		MaxIdleConnsPerHost: s.MaxOpen,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 	defer transport.CloseIdleConnections()
-	l.client = &http.Client{
+	s.client = &http.Client{
 		Transport: transport,
 	}
-	l.balancer.targets = make([]target, len(l.Targets))
-	for i, address := range l.Targets {
-		l.balancer.targets[i].address = address
+	s.balancer.targets = make([]target, len(s.Targets))
+	for i, address := range s.Targets {
+		s.balancer.targets[i].address = address
 	}
 	var sending tomb.Tomb
 	sending.Go(func() error {
-		return l.schedule(ctx, &sending, arrivals)
+		return s.schedule(ctx, &sending, arrivals)
 	})
 	return sending.Wait()
 }
 
 // schedule starts each request at its arrival.
-func (l *Load) schedule(ctx context.Context, sending *tomb.Tomb, arrivals Arrivals) error {
+func (s *Load) schedule(ctx context.Context, sending *tomb.Tomb, arrivals Arrivals) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -123,17 +123,17 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if l.numOpen.Add(1) > int64(l.MaxOpen) {
-			l.numOpen.Add(-1)
-			l.Record(&result.Record{
+		if s.numOpen.Add(1) > int64(s.MaxOpen) {
+			s.numOpen.Add(-1)
+			s.Record(&result.Record{
 				Request: &request,
 				Kind:    result.NotSent,
 			})
 			continue
 		}
 		sending.Go(func() error {
-			defer l.numOpen.Add(-1)
-			l.Record(l.send(ctx, &request))
+			defer s.numOpen.Add(-1)
+			s.Record(s.send(ctx, &request))
 			return nil
 		})
 	}
--- a/internal/load/openloop/send.go
+++ b/internal/load/openloop/send.go
@@ -57,14 +57,14 @@
 }
 
 // send sends one request and returns its record once the answer has ended.
-func (l *Load) send(ctx context.Context, request *demand.Request) *result.Record {
+func (s *Load) send(ctx context.Context, request *demand.Request) *result.Record {
 	record := &result.Record{
 		Request:  request,
 		SentLate: time.Since(request.At),
 	}
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline.Add(deadlineGrace))
 	defer cancel()
-	response, err := l.sendToTargets(ctx, request)
+	response, err := s.sendToTargets(ctx, request)
 	if err != nil {
 		record.Kind = result.NoAnswer
 		record.Cause = failureCause(err)
@@ -84,20 +84,20 @@
 
 // sendToTargets sends a request to the first target that accepts a connection. It
 // makes at most as many attempts as there are targets.
-func (l *Load) sendToTargets(ctx context.Context, request *demand.Request) (*http.Response, error) {
-	for range len(l.balancer.targets) - 1 {
-		target := l.balancer.pick(request.Random, time.Now())
-		response, err := l.sendTo(ctx, target.address, request)
+func (s *Load) sendToTargets(ctx context.Context, request *demand.Request) (*http.Response, error) {
+	for range len(s.balancer.targets) - 1 {
+		target := s.balancer.pick(request.Random, time.Now())
+		response, err := s.sendTo(ctx, target.address, request)
 		if err == nil || ctx.Err() != nil || !isDialError(err) {
 			return response, err
 		}
 		target.markDown(time.Now())
 	}
-	target := l.balancer.pick(request.Random, time.Now())
-	return l.sendTo(ctx, target.address, request)
+	target := s.balancer.pick(request.Random, time.Now())
+	return s.sendTo(ctx, target.address, request)
 }
 
-func (l *Load) sendTo(ctx context.Context, address string, request *demand.Request) (*http.Response, error) {
+func (s *Load) sendTo(ctx context.Context, address string, request *demand.Request) (*http.Response, error) {
 	method, path, body := encodeRequest(request)
 	outgoing, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
@@ -115,7 +115,7 @@
 	if request.Key != "" {
 		outgoing.Header.Set(caller.HeaderIdempotencyKey, string(request.Key))
 	}
-	response, err := l.client.Do(outgoing)
+	response, err := s.client.Do(outgoing)
 	return response, errors.Wrap(err, "ask")
 }
 
--- a/internal/report/burnpage/burnpage.go
+++ b/internal/report/burnpage/burnpage.go
@@ -64,6 +64,7 @@
 	Windows   []window
 }
 
+// team is the section of one team; Class is the CSS class of its verdict.
 type team struct {
 	Name    ident.TeamName
 	Verdict string
@@ -71,11 +72,13 @@
 	Plot    template.HTML
 }
 
+// window is the table of one window.
 type window struct {
 	Name  string
 	Lines []line
 }
 
+// line is one row of a table; Left is the error budget left, Mark the CSS class.
 type line struct {
 	Team     ident.TeamName
 	Class    ident.ClassName
@@ -224,6 +227,7 @@
 	}
 }
 
+// severity returns the CSS class of a burn rate.
 func severity(rate float64) string {
 	switch {
 	case rate >= fastBurnRate:
