--- a/internal/command/cicadaloom/check.go
+++ b/internal/command/cicadaloom/check.go
@@ -36,7 +36,7 @@
 	documentFile := flags.String("document", "", "the `file` with a team's document")
 	return func(_ context.Context, to program.Streams, _ []string) error {
 		if (*settingsFile == "") == (*documentFile == "") {
-			return program.BadInput("-settings and -document: found both or neither, allowed just one")
+			return program.InputErrorf("-settings and -document: found both or neither, allowed just one")
 		}
 		if *settingsFile != "" {
 			return checkFile(to, *settingsFile, checkSettings)
@@ -48,10 +48,10 @@
 func checkFile(to program.Streams, file string, check func(data []byte) error) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return program.BadInput("%v", err)
+		return program.InputErrorf("%v", err)
 	}
 	if err := check(data); err != nil {
-		return program.BadInput("%s is not in order:\n%v", file, err)
+		return program.InputErrorf("%s is not in order:\n%v", file, err)
 	}
 	fmt.Fprintf(to.Out, "%s is in order\n", file)
 	return nil
--- a/internal/command/cicadaloom/client.go
+++ b/internal/command/cicadaloom/client.go
@@ -49,7 +49,7 @@
 	}
 	request, err := http.NewRequest(method, strings.TrimSuffix(base, "/")+path, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, program.BadInput("-operators: %v", err)
+		return reply{}, program.InputErrorf("-operators: %v", err)
 	}
 	for name, values := range header {
 		request.Header[name] = values
@@ -88,7 +88,7 @@
 	case r.status < http.StatusBadRequest:
 		return nil
 	case r.status == http.StatusBadRequest || r.status == http.StatusUnprocessableEntity:
-		return program.BadInput("the host answered %d: %s", r.status, bytes.TrimSpace(r.body))
+		return program.InputErrorf("the host answered %d: %s", r.status, bytes.TrimSpace(r.body))
 	default:
 		return errors.Errorf("the host answered %d: %s", r.status, bytes.TrimSpace(r.body))
 	}
--- a/internal/command/cicadaloom/command_test.go
+++ b/internal/command/cicadaloom/command_test.go
@@ -71,7 +71,7 @@
 		{"explain", "-format", "html"},
 	} {
 		code, out, err := run(args...)
-		require.Equal(t, program.ExitInput, code, args)
+		require.Equal(t, program.ExitInvalidInput, code, args)
 		require.Empty(t, out, args)
 		require.NotEmpty(t, err, args)
 	}
--- a/internal/command/cicadaloom/document.go
+++ b/internal/command/cicadaloom/document.go
@@ -34,11 +34,11 @@
 
 func init() {
 	commands.Register(program.Command{
-		Name:      "document",
-		Summary:   "get, put or list the documents of teams",
-		Help:      documentHelp,
-		Arguments: true,
-		Prepare:   prepareDocument,
+		Name:             "document",
+		Summary:          "get, put or list the documents of teams",
+		Help:             documentHelp,
+		AcceptsArguments: true,
+		Prepare:          prepareDocument,
 	})
 }
 
@@ -61,12 +61,12 @@
 	flags.BoolVar(&f.isRetry, "again", false, "the edit of this id may have been put before")
 	return func(_ context.Context, to program.Streams, args []string) error {
 		if len(args) == 0 {
-			return program.BadInput("arguments: found none, allowed list, get, put or history")
+			return program.InputErrorf("arguments: found none, allowed list, get, put or history")
 		}
 		action := args[0]
 		// Flags may also follow the action, so the rest is parsed again.
 		if err := flags.Parse(args[1:]); err != nil {
-			return program.BadInput("%v", err)
+			return program.InputErrorf("%v", err)
 		}
 		return f.run(to, action, flags.Args())
 	}
@@ -74,7 +74,7 @@
 
 func (f *documentFlags) run(to program.Streams, action string, args []string) error {
 	if action != "list" && f.team == "" {
-		return program.BadInput("-team: found none, allowed the name of a team")
+		return program.InputErrorf("-team: found none, allowed the name of a team")
 	}
 	path := "/admin/documents/" + url.PathEscape(f.team)
 	switch action {
@@ -87,7 +87,7 @@
 	case "put":
 		return f.putDocument(to, path, args)
 	default:
-		return program.BadInput("arguments: found %q, allowed list, get, put or history", action)
+		return program.InputErrorf("arguments: found %q, allowed list, get, put or history", action)
 	}
 }
 
@@ -112,11 +112,11 @@
 
 func (f *documentFlags) putDocument(to program.Streams, path string, args []string) error {
 	if len(args) != 1 || f.revision < 0 {
-		return program.BadInput("found -revision %d and arguments %q, allowed the revision that the edit starts from and one file", f.revision, args)
+		return program.InputErrorf("found -revision %d and arguments %q, allowed the revision that the edit starts from and one file", f.revision, args)
 	}
 	text, err := os.ReadFile(args[0])
 	if err != nil {
-		return program.BadInput("%v", err)
+		return program.InputErrorf("%v", err)
 	}
 	if f.editID == "" {
 		f.editID = string(ident.NewEditID())
--- a/internal/command/cicadaloom/explain.go
+++ b/internal/command/cicadaloom/explain.go
@@ -25,11 +25,11 @@
 
 func init() {
 	commands.Register(program.Command{
-		Name:      "explain",
-		Summary:   "say why a request was refused or a model moved",
-		Help:      explainHelp,
-		Arguments: true,
-		Prepare:   prepareExplain,
+		Name:             "explain",
+		Summary:          "say why a request was refused or a model moved",
+		Help:             explainHelp,
+		AcceptsArguments: true,
+		Prepare:          prepareExplain,
 	})
 }
 
@@ -39,10 +39,10 @@
 	limit := flags.Int("limit", 50, "the most `decisions` to show")
 	return func(_ context.Context, to program.Streams, args []string) error {
 		if len(args) > 1 {
-			return program.BadInput("ID: found %d, allowed one or none; flags go before it", len(args))
+			return program.InputErrorf("ID: found %d, allowed one or none; flags go before it", len(args))
 		}
 		if *format != "text" && *format != "json" {
-			return program.BadInput("-format: found %q, allowed text or json", *format)
+			return program.InputErrorf("-format: found %q, allowed text or json", *format)
 		}
 		query := url.Values{
 			"format": {*format},
--- a/internal/command/cicadaloom/gateway.go
+++ b/internal/command/cicadaloom/gateway.go
@@ -46,11 +46,11 @@
 	checkOnly := flags.Bool("check", false, "only check the settings")
 	return func(ctx context.Context, _ program.Streams, _ []string) error {
 		if *file == "" {
-			return program.BadInput("-settings: found none, allowed a settings file")
+			return program.InputErrorf("-settings: found none, allowed a settings file")
 		}
 		loaded, err := settings.Load(*file)
 		if err != nil {
-			return program.BadInput("%v", err)
+			return program.InputErrorf("%v", err)
 		}
 		if *checkOnly {
 			return nil
--- a/internal/command/cicadaloom/report.go
+++ b/internal/command/cicadaloom/report.go
@@ -35,7 +35,7 @@
 	format := flags.String("format", "text", "the report's `form`: text, json or html")
 	return func(_ context.Context, to program.Streams, _ []string) error {
 		if *format != "text" && *format != "json" && *format != "html" {
-			return program.BadInput("-format: found %q, allowed text, json or html", *format)
+			return program.InputErrorf("-format: found %q, allowed text, json or html", *format)
 		}
 		got, err := c.get("/admin/burn?format=" + url.QueryEscape(*format))
 		if err != nil {
--- a/internal/command/cicadaloom/serve.go
+++ b/internal/command/cicadaloom/serve.go
@@ -44,11 +44,11 @@
 	file := flags.String("settings", "", "the settings `file` of this host")
 	return func(_ context.Context, to program.Streams, _ []string) error {
 		if *file == "" {
-			return program.BadInput("-settings: found none, allowed a settings file")
+			return program.InputErrorf("-settings: found none, allowed a settings file")
 		}
 		loaded, err := settings.Load(*file)
 		if err != nil {
-			return program.BadInput("%v", err)
+			return program.InputErrorf("%v", err)
 		}
 		return serve(to, loaded)
 	}
--- a/internal/command/loadtool/experiment.go
+++ b/internal/command/loadtool/experiment.go
@@ -117,7 +117,7 @@
 	options := experiment.Options{
 		Length:      f.length,
 		MovesWeight: f.movesWeight,
-		Done: func(o *experiment.Outcome) {
+		OnOutcome: func(o *experiment.Outcome) {
 			fmt.Fprintf(to.Err, "%s %s rate %g seed %d: attainment %.1f%%, %d refused, %d cut, %d without answer; %v %v\n",
 				o.Case, o.Policy, o.Rate, o.Seed, 100*o.Summary.Attainment, o.Summary.Refused, o.Summary.Cut,
 				o.Summary.NoAnswer, o.Summary.Refusals, o.Summary.Causes)
@@ -128,7 +128,7 @@
 		return options, err
 	}
 	if size.Engines > maxEngines {
-		return options, program.BadInput("-scale: found %g, which takes %d engines, allowed up to %d engines", f.scale, size.Engines, maxEngines)
+		return options, program.InputErrorf("-scale: found %g, which takes %d engines, allowed up to %d engines", f.scale, size.Engines, maxEngines)
 	}
 	if f.rate > 0 {
 		size.RequestsPerSecond = f.rate
@@ -138,7 +138,7 @@
 	}
 	options.Size = size
 	if options.Log, err = hostLog(f.log); err != nil {
-		return options, program.BadInput("-log: %v", err)
+		return options, program.InputErrorf("-log: %v", err)
 	}
 	if err := f.readCases(to, &options); err != nil {
 		return options, err
@@ -151,9 +151,9 @@
 	if f.cases != "all" {
 		options.Cases = nil
 		for _, name := range split(f.cases) {
-			found, known := experiment.CaseOf(name)
+			found, known := experiment.FindCase(name)
 			if !known {
-				return program.BadInput("-case: found %q, allowed are those of the help page", name)
+				return program.InputErrorf("-case: found %q, allowed are those of the help page", name)
 			}
 			options.Cases = append(options.Cases, found)
 		}
@@ -163,7 +163,7 @@
 		options.Policies = nil
 		for _, name := range split(f.policies) {
 			if !slices.Contains(policies, settings.Routing(name)) {
-				return program.BadInput("-policies: found %q, allowed %v", name, policies)
+				return program.InputErrorf("-policies: found %q, allowed %v", name, policies)
 			}
 			options.Policies = append(options.Policies, settings.Routing(name))
 		}
@@ -175,19 +175,19 @@
 	for _, item := range split(f.seeds) {
 		seed, err := strconv.ParseUint(item, 10, 64)
 		if err != nil {
-			return program.BadInput("-seeds: found %q, allowed a whole number of at least 0", item)
+			return program.InputErrorf("-seeds: found %q, allowed a whole number of at least 0", item)
 		}
 		options.Seeds = append(options.Seeds, seed)
 	}
 	for _, item := range split(f.sweep) {
 		rate, err := strconv.ParseFloat(item, 64)
 		if err != nil || rate <= 0 {
-			return program.BadInput("-sweep: found %q, allowed a number above 0", item)
+			return program.InputErrorf("-sweep: found %q, allowed a number above 0", item)
 		}
 		options.Rates = append(options.Rates, rate)
 	}
 	if len(options.Seeds) == 0 || f.length <= 0 || f.movesWeight < 0 || f.movesWeight > 1 {
-		return program.BadInput("found no -seeds, a -for of 0 or a -moves-weight outside 0 to 1")
+		return program.InputErrorf("found no -seeds, a -for of 0 or a -moves-weight outside 0 to 1")
 	}
 	return nil
 }
--- a/internal/command/loadtool/loadtool_test.go
+++ b/internal/command/loadtool/loadtool_test.go
@@ -50,7 +50,7 @@
 		{"experiment", "-nour", "-log", "loud"},
 	} {
 		status, stdout, stderr := runTool(arguments...)
-		require.Equal(t, program.ExitInput, status, arguments)
+		require.Equal(t, program.ExitInvalidInput, status, arguments)
 		require.Empty(t, stdout, arguments)
 		require.NotEmpty(t, stderr, arguments)
 	}
--- a/internal/command/loadtool/plan.go
+++ b/internal/command/loadtool/plan.go
@@ -63,15 +63,15 @@
 
 func (u *userFlags) size(to program.Streams, scale float64) (sizes.Size, error) {
 	if u.kerlouan == u.nour {
-		return sizes.Size{}, program.BadInput("found neither or both of -kerlouan and -nour, allowed one of them")
+		return sizes.Size{}, program.InputErrorf("found neither or both of -kerlouan and -nour, allowed one of them")
 	}
 	if scale <= 0 || scale > maxScale {
-		return sizes.Size{}, program.BadInput("-scale: found %g, allowed above 0 up to %d", scale, maxScale)
+		return sizes.Size{}, program.InputErrorf("-scale: found %g, allowed above 0 up to %d", scale, maxScale)
 	}
 	user := sizes.Kerlouan
 	if u.nour {
 		user = sizes.Nour
 	}
-	size, _ := sizes.Of(user, scale)
+	size, _ := sizes.ForUser(user, scale)
 	return size, nil
 }
--- a/internal/command/loadtool/run.go
+++ b/internal/command/loadtool/run.go
@@ -77,9 +77,9 @@
 
 func (f *runFlags) run(ctx context.Context, to program.Streams, _ []string) error {
 	if f.plan == "" || f.targets == "" || f.length <= 0 {
-		return program.BadInput("found no -plan, no -targets or a -for of 0, allowed all three")
+		return program.InputErrorf("found no -plan, no -targets or a -for of 0, allowed all three")
 	}
-	plan, err := demand.Load(f.plan)
+	plan, err := demand.ReadFile(f.plan)
 	if err != nil {
 		return err
 	}
@@ -104,22 +104,22 @@
 // load sends the load, and reads the fleet's counters before and after it.
 func (f *runFlags) load(ctx context.Context, plan demand.Plan) (*result.Summary, error) {
 	reader := counters.Reader{
-		Statuses: split(f.status),
-		Token:    f.token,
-		Servers:  split(f.engines),
+		StatusURLs:      split(f.status),
+		Token:           f.token,
+		ServerAddresses: split(f.engines),
 	}
 	before, err := reader.Read(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var collector result.Collector
-	load := openloop.Load{
+	load := openloop.Sender{
 		Targets: split(f.targets),
 		MaxOpen: f.maxOpen,
 		Record:  collector.Add,
 	}
 	start := time.Now().Add(startDelay)
-	err = load.Run(ctx, demand.New(plan, demand.Span{
+	err = load.Run(ctx, demand.NewArrivals(plan, demand.Span{
 		Seed:  f.seed,
 		Start: start,
 		End:   start.Add(f.length),
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRun())
+	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRunRequests())
 	return &summary, nil
 }
 
--- a/internal/command/program/program.go
+++ b/internal/command/program/program.go
@@ -40,9 +40,9 @@
 const (
 	ExitOK      = 0
 	ExitFailure = 1
-	// ExitInput is the code for invalid input: arguments, settings or a document
+	// ExitInvalidInput is the code for invalid input: arguments, settings or a document
 	// that is refused.
-	ExitInput = 2
+	ExitInvalidInput = 2
 )
 
 // Command is one subcommand of a program.
@@ -51,8 +51,8 @@
 	Summary string
 	// Help is the text that -h prints above the flags.
 	Help string
-	// Arguments is true if the command accepts positional arguments.
-	Arguments bool
+	// AcceptsArguments is true if the command accepts positional arguments.
+	AcceptsArguments bool
 	// Prepare declares the flags and returns the function to run after they are
 	// parsed.
 	Prepare func(flags *flag.FlagSet) Runner
@@ -78,8 +78,8 @@
 	return e.cause.Error()
 }
 
-// BadInput formats an error for which Run returns ExitInput.
-func BadInput(format string, args ...any) error {
+// InputErrorf formats an error for which Run returns ExitInput.
+func InputErrorf(format string, args ...any) error {
 	return inputError{
 		cause: errors.Errorf(format, args...),
 	}
@@ -120,7 +120,7 @@
 	switch {
 	case len(args) == 0:
 		p.printOverview(err)
-		return ExitInput
+		return ExitInvalidInput
 	case args[0] == "help" && len(args) > 1:
 		return p.runCommand(ctx, streams, args[1], []string{"-h"})
 	case args[0] == "help" || isHelpFlag(args[0]):
@@ -139,7 +139,7 @@
 	command, found := p.commands[name]
 	if !found {
 		fmt.Fprintf(streams.Err, "%s: command: found %q, allowed one of those that %s -h lists\n", p.Name, name, p.Name)
-		return ExitInput
+		return ExitInvalidInput
 	}
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(helpOutput(streams, args))
@@ -149,11 +149,11 @@
 		if errors.Is(err, flag.ErrHelp) {
 			return ExitOK
 		}
-		return ExitInput
+		return ExitInvalidInput
 	}
-	if !command.Arguments && flags.NArg() > 0 {
+	if !command.AcceptsArguments && flags.NArg() > 0 {
 		fmt.Fprintf(streams.Err, "%s %s: arguments: found %q, allowed only flags\n", p.Name, name, flags.Args())
-		return ExitInput
+		return ExitInvalidInput
 	}
 	return p.reportResult(streams, name, run(ctx, streams, flags.Args()))
 }
@@ -177,7 +177,7 @@
 	fmt.Fprintf(streams.Err, "%s %s: %v\n", p.Name, name, err)
 	var input inputError
 	if errors.As(err, &input) {
-		return ExitInput
+		return ExitInvalidInput
 	}
 	return ExitFailure
 }
--- a/internal/command/standin/standin_test.go
+++ b/internal/command/standin/standin_test.go
@@ -97,13 +97,13 @@
 		status    int
 		says      string
 	}{
-		{"", program.ExitInput, "Usage: standin COMMAND"},
-		{"boat", program.ExitInput, `found "boat", allowed one of those`},
-		{"help boat", program.ExitInput, `found "boat", allowed one of those`},
-		{"engine -boat", program.ExitInput, "-boat"},
-		{"engine extra", program.ExitInput, `found ["extra"], allowed only flags`},
-		{"engine -memory 3", program.ExitInput, "whole number"},
-		{"engine -memory 99999999999GiB", program.ExitInput, "whole number"},
+		{"", program.ExitInvalidInput, "Usage: standin COMMAND"},
+		{"boat", program.ExitInvalidInput, `found "boat", allowed one of those`},
+		{"help boat", program.ExitInvalidInput, `found "boat", allowed one of those`},
+		{"engine -boat", program.ExitInvalidInput, "-boat"},
+		{"engine extra", program.ExitInvalidInput, `found ["extra"], allowed only flags`},
+		{"engine -memory 3", program.ExitInvalidInput, "whole number"},
+		{"engine -memory 99999999999GiB", program.ExitInvalidInput, "whole number"},
 		{`plain -faults {"Dwon":true}`, program.ExitFailure, "Dwon"},
 		{"weights -listen " + taken.Addr().String(), program.ExitFailure, "address already in use"},
 	} {
--- a/internal/config/gateway/gateway.go
+++ b/internal/config/gateway/gateway.go
@@ -101,34 +101,34 @@
 			LoadOvershoot: 1,
 		},
 		Log: settings.Log{
-			Level: settings.Info,
+			Level: settings.LevelInfo,
 		},
 	}
 }
 
 var settingsTable = jsonfile.Object[Settings]{
 	Members: []jsonfile.Member[Settings]{
-		jsonfile.Need("Host", func(s *Settings) *settings.Host { return &s.Host }, settings.HostTable, ""),
-		jsonfile.Need("Listen", func(s *Settings) *Listen { return &s.Listen }, listenTable, ""),
-		jsonfile.Need("KeyValue", func(s *Settings) *string { return &s.KeyValue }, addressText(),
+		jsonfile.Required("Host", func(s *Settings) *settings.Host { return &s.Host }, settings.HostTable, ""),
+		jsonfile.Required("Listen", func(s *Settings) *Listen { return &s.Listen }, listenTable, ""),
+		jsonfile.Required("KeyValue", func(s *Settings) *string { return &s.KeyValue }, addressText(),
 			"Where the platform's key-value service answers, as ip:port."),
-		jsonfile.May("Seeds", func(s *Settings) *[]string { return &s.Seeds },
+		jsonfile.Optional("Seeds", func(s *Settings) *[]string { return &s.Seeds },
 			jsonfile.List[string]{
 				Item: addressText(),
 				Max:  maxSeeds,
 			},
 			"Peers to ask where the key-value service does not answer, as ip:port."),
-		jsonfile.May("Memory", func(s *Settings) *unit.Bytes { return &s.Memory },
+		jsonfile.Optional("Memory", func(s *Settings) *unit.Bytes { return &s.Memory },
 			jsonfile.Bytes{
 				Min: 32 * unit.Mebibyte,
 				Max: 64 * unit.Gibibyte,
 			},
 			"What this process may use."),
-		jsonfile.May("Processor", func(s *Settings) *Processor { return &s.Processor }, processorTable, ""),
-		jsonfile.May("FirstStart", func(s *Settings) *bool { return &s.FirstStart }, jsonfile.Flag{},
+		jsonfile.Optional("Processor", func(s *Settings) *Processor { return &s.Processor }, processorTable, ""),
+		jsonfile.Optional("FirstStart", func(s *Settings) *bool { return &s.FirstStart }, jsonfile.Boolean{},
 			"Whether the whole fleet starts for the first time: hosts take a second to learn of one another then, rather than each ask for everything at once."),
-		jsonfile.May("Bounds", func(s *Settings) *Bounds { return &s.Bounds }, boundsTable, ""),
-		jsonfile.May("Log", func(s *Settings) *settings.Log { return &s.Log }, settings.LogTable, ""),
+		jsonfile.Optional("Bounds", func(s *Settings) *Bounds { return &s.Bounds }, boundsTable, ""),
+		jsonfile.Optional("Log", func(s *Settings) *settings.Log { return &s.Log }, settings.LogTable, ""),
 	},
 }
 
@@ -148,26 +148,26 @@
 
 var listenTable = jsonfile.Object[Listen]{
 	Members: []jsonfile.Member[Listen]{
-		jsonfile.Need("Callers", func(l *Listen) *string { return &l.Callers }, addressText(),
+		jsonfile.Required("Callers", func(l *Listen) *string { return &l.Callers }, addressText(),
 			"Where clients reach this host, as ip:port."),
-		jsonfile.Need("Ready", func(l *Listen) *string { return &l.Ready }, addressText(),
+		jsonfile.Required("Ready", func(l *Listen) *string { return &l.Ready }, addressText(),
 			"Where the platform asks whether this host takes clients."),
-		jsonfile.Need("Peers", func(l *Listen) *string { return &l.Peers }, addressText(),
+		jsonfile.Required("Peers", func(l *Listen) *string { return &l.Peers }, addressText(),
 			"Where other entry hosts reach this host; it is told to them as it stands here."),
-		jsonfile.May("Metrics", func(l *Listen) *string { return &l.Metrics }, addressText(),
+		jsonfile.Optional("Metrics", func(l *Listen) *string { return &l.Metrics }, addressText(),
 			"Where metrics are served, at the path /metrics."),
 	},
 }
 
 var processorTable = jsonfile.Object[Processor]{
 	Members: []jsonfile.Member[Processor]{
-		jsonfile.May("Share", func(p *Processor) *float64 { return &p.Share },
+		jsonfile.Optional("Share", func(p *Processor) *float64 { return &p.Share },
 			jsonfile.Number{
 				Min: 0.01,
 				Max: 1024,
 			},
 			"How many cores this process may use, or which part of one."),
-		jsonfile.May("Speed", func(p *Processor) *float64 { return &p.Speed },
+		jsonfile.Optional("Speed", func(p *Processor) *float64 { return &p.Speed },
 			jsonfile.Number{
 				Min: 0.01,
 				Max: 1024,
@@ -178,29 +178,29 @@
 
 var boundsTable = jsonfile.Object[Bounds]{
 	Members: []jsonfile.Member[Bounds]{
-		jsonfile.May("Grace", func(b *Bounds) *time.Duration { return &b.Grace }, durationRange(time.Second),
+		jsonfile.Optional("Grace", func(b *Bounds) *time.Duration { return &b.Grace }, durationRange(time.Second),
 			"How long the host has from the signal to stop to its end."),
-		jsonfile.May("HolderLease", func(b *Bounds) *time.Duration { return &b.HolderLease }, durationRange(100*time.Millisecond),
+		jsonfile.Optional("HolderLease", func(b *Bounds) *time.Duration { return &b.HolderLease }, durationRange(100*time.Millisecond),
 			"How far apart the orders of two hosts to one engine must be; the same on every host."),
-		jsonfile.May("Fenced", func(b *Bounds) *bool { return &b.Fenced }, jsonfile.Flag{},
+		jsonfile.Optional("Fenced", func(b *Bounds) *bool { return &b.Fenced }, jsonfile.Boolean{},
 			"Whether engines refuse the orders of earlier holders."),
-		jsonfile.May("RetryRatio", func(b *Bounds) *float64 { return &b.RetryRatio },
+		jsonfile.Optional("RetryRatio", func(b *Bounds) *float64 { return &b.RetryRatio },
 			jsonfile.Number{
 				Min: 0,
 				Max: 1,
 			},
 			"How many retries one request pays for."),
-		jsonfile.May("RetryWindow", func(b *Bounds) *time.Duration { return &b.RetryWindow }, durationRange(100*time.Millisecond),
+		jsonfile.Optional("RetryWindow", func(b *Bounds) *time.Duration { return &b.RetryWindow }, durationRange(100*time.Millisecond),
 			"The span that the retry budget holds over."),
-		jsonfile.May("RetrySlack", func(b *Bounds) *float64 { return &b.RetrySlack },
+		jsonfile.Optional("RetrySlack", func(b *Bounds) *float64 { return &b.RetrySlack },
 			jsonfile.Number{
 				Min: 0,
 				Max: 100000,
 			},
 			"How many retries in a window are free, over all hosts."),
-		jsonfile.May("LoadWindow", func(b *Bounds) *time.Duration { return &b.LoadWindow }, durationRange(100*time.Millisecond),
+		jsonfile.Optional("LoadWindow", func(b *Bounds) *time.Duration { return &b.LoadWindow }, durationRange(100*time.Millisecond),
 			"The span that the pace of loads from the weight store holds over."),
-		jsonfile.May("LoadOvershoot", func(b *Bounds) *float64 { return &b.LoadOvershoot },
+		jsonfile.Optional("LoadOvershoot", func(b *Bounds) *float64 { return &b.LoadOvershoot },
 			jsonfile.Number{
 				Min: 0,
 				Max: 10,
--- a/internal/config/jsonfile/fault.go
+++ b/internal/config/jsonfile/fault.go
@@ -53,15 +53,15 @@
 	})
 }
 
-// Join returns the path of a member of the value at path.
-func Join(path, member string) string {
+// MemberPath returns the path of a member of the value at path.
+func MemberPath(path, member string) string {
 	if path == "" {
 		return member
 	}
 	return path + "." + member
 }
 
-// Index returns the path of item i of the list at path.
-func Index(path string, i int) string {
+// ItemPath returns the path of item i of the list at path.
+func ItemPath(path string, i int) string {
 	return fmt.Sprintf("%s[%d]", path, i)
 }
--- a/internal/config/jsonfile/jsonfile_test.go
+++ b/internal/config/jsonfile/jsonfile_test.go
@@ -33,14 +33,14 @@
 
 var wheelTable = Object[wheel]{
 	Members: []Member[wheel]{
-		Need("Name", func(w *wheel) *string { return &w.Name }, Text[string]{
+		Required("Name", func(w *wheel) *string { return &w.Name }, Text[string]{
 			Max:     8,
 			Pattern: regexp.MustCompile("^[a-z]+$"),
 			Form:    "letters",
 		}, "What the wheel is called."),
-		May("Spare", func(w *wheel) *bool { return &w.Spare }, Flag{}, "Whether it is a spare."),
+		Optional("Spare", func(w *wheel) *bool { return &w.Spare }, Boolean{}, "Whether it is a spare."),
 	},
-	Fresh: func() wheel {
+	NewDefault: func() wheel {
 		return wheel{
 			Spare: true,
 		}
@@ -49,27 +49,27 @@
 
 var cartTable = Object[cart]{
 	Members: []Member[cart]{
-		Need("Colour", func(c *cart) *colour { return &c.Colour }, Text[colour]{
+		Required("Colour", func(c *cart) *colour { return &c.Colour }, Text[colour]{
 			OneOf: []colour{"Red", "Blue"},
 		}, "Its colour."),
-		Need("Wheels", func(c *cart) *[]wheel { return &c.Wheels }, List[wheel]{
+		Required("Wheels", func(c *cart) *[]wheel { return &c.Wheels }, List[wheel]{
 			Item: wheelTable,
 			Max:  4,
 		}, "Its wheels."),
-		May("Load", func(c *cart) *unit.Bytes { return &c.Load }, Bytes{
+		Optional("Load", func(c *cart) *unit.Bytes { return &c.Load }, Bytes{
 			Max: 64 * unit.Gibibyte,
 		}, "What it carries."),
-		May("Age", func(c *cart) *time.Duration { return &c.Age }, Duration{
+		Optional("Age", func(c *cart) *time.Duration { return &c.Age }, Duration{
 			Max: 48 * time.Hour,
 		}, "How old it is."),
-		May("Seats", func(c *cart) *int { return &c.Seats }, Integer[int]{
+		Optional("Seats", func(c *cart) *int { return &c.Seats }, Integer[int]{
 			Min: 1,
 			Max: 9,
 		}, "How many sit in it."),
-		May("Rate", func(c *cart) *float64 { return &c.Rate }, Number{
+		Optional("Rate", func(c *cart) *float64 { return &c.Rate }, Number{
 			Max: 1,
 		}, "A rate."),
-		May("Labels", func(c *cart) *map[string]int { return &c.Labels }, Map[string, int]{
+		Optional("Labels", func(c *cart) *map[string]int { return &c.Labels }, Map[string, int]{
 			Key: Text[string]{
 				Max: 8,
 			},
@@ -77,7 +77,7 @@
 				Max: 3,
 			},
 		}, "Labels."),
-		May("Note", func(c *cart) *string { return &c.Note }, Text[string]{
+		Optional("Note", func(c *cart) *string { return &c.Note }, Text[string]{
 			MayBeEmpty: true,
 			Secret:     true,
 			Max:        3,
--- a/internal/config/jsonfile/object.go
+++ b/internal/config/jsonfile/object.go
@@ -8,9 +8,9 @@
 // Object is the codec of a JSON object that is stored in a struct.
 type Object[T any] struct {
 	Members []Member[T]
-	// Fresh returns the default value of an object that is an item of a list or
+	// NewDefault returns the default value of an object that is an item of a list or
 	// map, or optional. If it is nil, the default is the zero value.
-	Fresh func() T
+	NewDefault func() T
 	// Check, if set, checks constraints between members. A member that is invalid
 	// or missing has its default here: Check should skip it.
 	Check func(value *T, path string, faults *Faults)
@@ -27,16 +27,16 @@
 	allowed  func() string
 }
 
-// Need returns a required member.
-func Need[T, V any](name string, at func(*T) *V, codec Codec[V], meaning string) Member[T] {
-	result := May(name, at, codec, meaning)
+// Required returns a required member.
+func Required[T, V any](name string, at func(*T) *V, codec Codec[V], meaning string) Member[T] {
+	result := Optional(name, at, codec, meaning)
 	result.required = true
 	return result
 }
 
-// May returns an optional member. Its default is the value that the struct has
+// Optional returns an optional member. Its default is the value that the struct has
 // before it is read.
-func May[T, V any](name string, at func(*T) *V, codec Codec[V], meaning string) Member[T] {
+func Optional[T, V any](name string, at func(*T) *V, codec Codec[V], meaning string) Member[T] {
 	return Member[T]{
 		name:    name,
 		meaning: meaning,
@@ -58,11 +58,11 @@
 }
 
 func (o Object[T]) defaultValue() T {
-	if o.Fresh == nil {
+	if o.NewDefault == nil {
 		var zero T
 		return zero
 	}
-	return o.Fresh()
+	return o.NewDefault()
 }
 
 func (o Object[T]) read(n *node, into *T, faults *Faults) {
@@ -82,7 +82,7 @@
 		case given:
 			m.read(value, into, faults)
 		case m.required:
-			faults.Add(Join(n.path, m.name), "nothing", m.allowed())
+			faults.Add(MemberPath(n.path, m.name), "nothing", m.allowed())
 		}
 	}
 	o.addUnknown(n, values, faults)
@@ -133,7 +133,7 @@
 	for i := range o.Members {
 		m := &o.Members[i]
 		line := Description{
-			Path:    Join(entry.Path, m.name),
+			Path:    MemberPath(entry.Path, m.name),
 			Meaning: m.meaning,
 		}
 		if m.required {
--- a/internal/config/jsonfile/parse.go
+++ b/internal/config/jsonfile/parse.go
@@ -162,7 +162,7 @@
 func (p *parser) parseList(into *node, depth int) error {
 	into.kind = kindList
 	for p.decoder.More() {
-		item, err := p.parseValue(Index(into.path, len(into.items)), depth+1)
+		item, err := p.parseValue(ItemPath(into.path, len(into.items)), depth+1)
 		if err != nil {
 			return err
 		}
@@ -181,7 +181,7 @@
 			return errors.WithStack(err)
 		}
 		name, _ := token.(string) // a member's name is always a string
-		value, err := p.parseValue(Join(into.path, name), depth+1)
+		value, err := p.parseValue(MemberPath(into.path, name), depth+1)
 		if err != nil {
 			return err
 		}
--- a/internal/config/jsonfile/scalar.go
+++ b/internal/config/jsonfile/scalar.go
@@ -145,14 +145,14 @@
 	describeValue(out, entry, "number", r, value)
 }
 
-// Flag is the codec of a JSON boolean.
-type Flag struct{}
+// Boolean is the codec of a JSON boolean.
+type Boolean struct{}
 
-func (f Flag) allowed() string {
+func (f Boolean) allowed() string {
 	return "true or false"
 }
 
-func (f Flag) read(n *node, into *bool, faults *Faults) {
+func (f Boolean) read(n *node, into *bool, faults *Faults) {
 	if n.kind != kindBool {
 		faults.Add(n.path, n.describeFound(), f.allowed())
 		return
@@ -160,10 +160,10 @@
 	*into = n.boolean
 }
 
-func (f Flag) write(out *bytes.Buffer, value bool) {
+func (f Boolean) write(out *bytes.Buffer, value bool) {
 	out.WriteString(strconv.FormatBool(value))
 }
 
-func (f Flag) describe(out *[]Description, entry Description, value bool) {
+func (f Boolean) describe(out *[]Description, entry Description, value bool) {
 	describeValue(out, entry, "true or false", f, value)
 }
--- a/internal/config/settings/callers.go
+++ b/internal/config/settings/callers.go
@@ -38,37 +38,37 @@
 
 var callersTable = jsonfile.Object[Callers]{
 	Members: []jsonfile.Member[Callers]{
-		jsonfile.May("MaxBody", func(c *Callers) *unit.Bytes { return &c.MaxBody },
+		jsonfile.Optional("MaxBody", func(c *Callers) *unit.Bytes { return &c.MaxBody },
 			jsonfile.Bytes{
 				Min: unit.Kibibyte,
 				Max: 64 * unit.Mebibyte,
 			},
 			"The greatest size of a request's body."),
-		jsonfile.May("DefaultDeadline", func(c *Callers) *time.Duration { return &c.DefaultDeadline },
+		jsonfile.Optional("DefaultDeadline", func(c *Callers) *time.Duration { return &c.DefaultDeadline },
 			jsonfile.Duration{
 				Min: 100 * time.Millisecond,
 				Max: time.Hour,
 			},
 			"How long a request may take whose caller gives no deadline; at most MaxDeadline."),
-		jsonfile.May("MaxDeadline", func(c *Callers) *time.Duration { return &c.MaxDeadline },
+		jsonfile.Optional("MaxDeadline", func(c *Callers) *time.Duration { return &c.MaxDeadline },
 			jsonfile.Duration{
 				Min: time.Second,
 				Max: time.Hour,
 			},
 			"How long any request may take."),
-		jsonfile.May("DrainTimeout", func(c *Callers) *time.Duration { return &c.DrainTimeout },
+		jsonfile.Optional("DrainTimeout", func(c *Callers) *time.Duration { return &c.DrainTimeout },
 			jsonfile.Duration{
 				Min: time.Second,
 				Max: time.Hour,
 			},
 			"How long a stopping host lets requests in flight finish; at least MaxDeadline, so that a planned stop cuts none."),
-		jsonfile.May("LameDuck", func(c *Callers) *time.Duration { return &c.LameDuck },
+		jsonfile.Optional("LameDuck", func(c *Callers) *time.Duration { return &c.LameDuck },
 			jsonfile.Duration{
 				Min: 0,
 				Max: time.Minute,
 			},
 			"How long a stopping host serves on while its health page already answers 503: longer than the balancer takes to notice."),
-		jsonfile.May("MaxInFlight", func(c *Callers) *int { return &c.MaxInFlight },
+		jsonfile.Optional("MaxInFlight", func(c *Callers) *int { return &c.MaxInFlight },
 			jsonfile.Integer[int]{
 				Min: 1,
 				Max: 1_000_000,
@@ -80,11 +80,11 @@
 
 func checkCallers(c *Callers, path string, faults *jsonfile.Faults) {
 	if c.DefaultDeadline > c.MaxDeadline {
-		faults.Add(jsonfile.Join(path, "DefaultDeadline"), c.DefaultDeadline.String(), "at most MaxDeadline, "+c.MaxDeadline.String())
+		faults.Add(jsonfile.MemberPath(path, "DefaultDeadline"), c.DefaultDeadline.String(), "at most MaxDeadline, "+c.MaxDeadline.String())
 	}
 	// With a shorter drain timeout, a planned stop would cut off the longest
 	// requests.
 	if c.DrainTimeout < c.MaxDeadline {
-		faults.Add(jsonfile.Join(path, "DrainTimeout"), c.DrainTimeout.String(), "at least MaxDeadline, "+c.MaxDeadline.String())
+		faults.Add(jsonfile.MemberPath(path, "DrainTimeout"), c.DrainTimeout.String(), "at least MaxDeadline, "+c.MaxDeadline.String())
 	}
 }
--- a/internal/config/settings/claims.go
+++ b/internal/config/settings/claims.go
@@ -32,25 +32,25 @@
 
 var claimsTable = jsonfile.Object[Claims]{
 	Members: []jsonfile.Member[Claims]{
-		jsonfile.May("Partitions", func(c *Claims) *int { return &c.Partitions },
+		jsonfile.Optional("Partitions", func(c *Claims) *int { return &c.Partitions },
 			jsonfile.Integer[int]{
 				Min: 1,
 				Max: 1024,
 			},
 			"Into how many partitions claims are spread; the same on every host, and never changed while claims are kept."),
-		jsonfile.May("Pace", func(c *Claims) *time.Duration { return &c.Pace },
+		jsonfile.Optional("Pace", func(c *Claims) *time.Duration { return &c.Pace },
 			jsonfile.Duration{
 				Min: 0,
 				Max: 5 * time.Second,
 			},
 			"The least time between two writes of one partition."),
-		jsonfile.May("Keep", func(c *Claims) *time.Duration { return &c.Keep },
+		jsonfile.Optional("Keep", func(c *Claims) *time.Duration { return &c.Keep },
 			jsonfile.Duration{
 				Min: time.Minute,
 				Max: 30 * 24 * time.Hour,
 			},
 			"How long a claim is remembered: a repeat after that would run again."),
-		jsonfile.May("SegmentSize", func(c *Claims) *unit.Bytes { return &c.SegmentSize },
+		jsonfile.Optional("SegmentSize", func(c *Claims) *unit.Bytes { return &c.SegmentSize },
 			jsonfile.Bytes{
 				Min: 512 * unit.Byte,
 				Max: 512 * unit.Kibibyte,
--- a/internal/config/settings/control.go
+++ b/internal/config/settings/control.go
@@ -38,27 +38,27 @@
 
 var controlTable = jsonfile.Object[Control]{
 	Members: []jsonfile.Member[Control]{
-		jsonfile.May("ReportInterval", func(c *Control) *time.Duration { return &c.ReportInterval }, intervalCodec(),
+		jsonfile.Optional("ReportInterval", func(c *Control) *time.Duration { return &c.ReportInterval }, intervalCodec(),
 			"Between two reports asked of one engine."),
-		jsonfile.May("ListInterval", func(c *Control) *time.Duration { return &c.ListInterval }, intervalCodec(),
+		jsonfile.Optional("ListInterval", func(c *Control) *time.Duration { return &c.ListInterval }, intervalCodec(),
 			"Between two readings of the host list."),
-		jsonfile.May("ExchangeInterval", func(c *Control) *time.Duration { return &c.ExchangeInterval }, intervalCodec(),
+		jsonfile.Optional("ExchangeInterval", func(c *Control) *time.Duration { return &c.ExchangeInterval }, intervalCodec(),
 			"Between two exchanges with other entry hosts."),
-		jsonfile.May("PlanInterval", func(c *Control) *time.Duration { return &c.PlanInterval }, intervalCodec(),
+		jsonfile.Optional("PlanInterval", func(c *Control) *time.Duration { return &c.PlanInterval }, intervalCodec(),
 			"Between two looks of the leader at the placement."),
-		jsonfile.May("LeaderLease", func(c *Control) *time.Duration { return &c.LeaderLease },
+		jsonfile.Optional("LeaderLease", func(c *Control) *time.Duration { return &c.LeaderLease },
 			jsonfile.Duration{
 				Min: time.Second,
 				Max: time.Minute,
 			},
 			"How long the planning leader's lease lasts unless kept; at least twice CallTimeout. The same on every host."),
-		jsonfile.May("WatchSilence", func(c *Control) *time.Duration { return &c.WatchSilence },
+		jsonfile.Optional("WatchSilence", func(c *Control) *time.Duration { return &c.WatchSilence },
 			jsonfile.Duration{
 				Min: time.Second,
 				Max: time.Minute,
 			},
 			"How long a watch may give no sign of life before it is given up and everything is read again."),
-		jsonfile.May("CallTimeout", func(c *Control) *time.Duration { return &c.CallTimeout },
+		jsonfile.Optional("CallTimeout", func(c *Control) *time.Duration { return &c.CallTimeout },
 			jsonfile.Duration{
 				Min: 10 * time.Millisecond,
 				Max: 30 * time.Second,
@@ -84,7 +84,7 @@
 	// If a lease could expire during one slow call, the leader would change each
 	// time the key-value service is slow.
 	if c.LeaderLease < minCallsPerLease*c.CallTimeout {
-		faults.Add(jsonfile.Join(path, "LeaderLease"), c.LeaderLease.String(),
+		faults.Add(jsonfile.MemberPath(path, "LeaderLease"), c.LeaderLease.String(),
 			"at least twice CallTimeout, "+(minCallsPerLease*c.CallTimeout).String())
 	}
 }
--- a/internal/config/settings/host.go
+++ b/internal/config/settings/host.go
@@ -37,13 +37,13 @@
 // HostTable is the table of Host. Settings of other programs include it too.
 var HostTable = jsonfile.Object[Host]{
 	Members: []jsonfile.Member[Host]{
-		jsonfile.Need("Name", func(h *Host) *ident.HostID { return &h.Name }, nameCodec[ident.HostID](),
+		jsonfile.Required("Name", func(h *Host) *ident.HostID { return &h.Name }, nameCodec[ident.HostID](),
 			"The name of this entry host, unlike that of any other."),
-		jsonfile.Need("DataCentre", func(h *Host) *ident.DataCentre { return &h.DataCentre }, nameCodec[ident.DataCentre](),
+		jsonfile.Required("DataCentre", func(h *Host) *ident.DataCentre { return &h.DataCentre }, nameCodec[ident.DataCentre](),
 			"The data centre that this host stands in: one of DataCentres."),
-		jsonfile.Need("Region", func(h *Host) *ident.Region { return &h.Region }, nameCodec[ident.Region](),
+		jsonfile.Required("Region", func(h *Host) *ident.Region { return &h.Region }, nameCodec[ident.Region](),
 			"The region of DataCentre, as DataCentres has it."),
-		jsonfile.Need("DataCentres", func(h *Host) *map[ident.DataCentre]ident.Region { return &h.DataCentres },
+		jsonfile.Required("DataCentres", func(h *Host) *map[ident.DataCentre]ident.Region { return &h.DataCentres },
 			jsonfile.Map[ident.DataCentre, ident.Region]{
 				Key:  nameCodec[ident.DataCentre](),
 				Item: nameCodec[ident.Region](),
@@ -64,9 +64,9 @@
 	region, known := h.DataCentres[h.DataCentre]
 	switch {
 	case !known:
-		faults.Add(jsonfile.Join(path, "DataCentre"), strconv.Quote(string(h.DataCentre)), "a data centre that DataCentres has")
+		faults.Add(jsonfile.MemberPath(path, "DataCentre"), strconv.Quote(string(h.DataCentre)), "a data centre that DataCentres has")
 	case region != "" && region != h.Region:
-		faults.Add(jsonfile.Join(path, "Region"), strconv.Quote(string(h.Region)),
+		faults.Add(jsonfile.MemberPath(path, "Region"), strconv.Quote(string(h.Region)),
 			strconv.Quote(string(region))+", the region of "+string(h.DataCentre)+" in DataCentres")
 	}
 }
--- a/internal/config/settings/listen.go
+++ b/internal/config/settings/listen.go
@@ -18,11 +18,11 @@
 
 var listenTable = jsonfile.Object[Listen]{
 	Members: []jsonfile.Member[Listen]{
-		jsonfile.Need("Callers", func(l *Listen) *string { return &l.Callers }, addressCodec(isAddress, "an address as ip:port"),
+		jsonfile.Required("Callers", func(l *Listen) *string { return &l.Callers }, addressCodec(isAddress, "an address as ip:port"),
 			"Where callers reach this host."),
-		jsonfile.Need("Operators", func(l *Listen) *string { return &l.Operators }, addressCodec(isAddress, "an address as ip:port"),
+		jsonfile.Required("Operators", func(l *Listen) *string { return &l.Operators }, addressCodec(isAddress, "an address as ip:port"),
 			"Where operators, probes and metrics reach this host."),
-		jsonfile.Need("Peers", func(l *Listen) *string { return &l.Peers },
+		jsonfile.Required("Peers", func(l *Listen) *string { return &l.Peers },
 			addressCodec(isDialable, "an address as ip:port that other hosts can dial (not 0.0.0.0 or ::)"),
 			"Where other entry hosts reach this host; it is told to them as it stands here."),
 	},
@@ -71,7 +71,7 @@
 			continue
 		}
 		if other, taken := memberByAddress[parsed]; taken {
-			faults.Add(jsonfile.Join(path, m.name), strconv.Quote(m.address), "an address other than that of "+other)
+			faults.Add(jsonfile.MemberPath(path, m.name), strconv.Quote(m.address), "an address other than that of "+other)
 		}
 		memberByAddress[parsed] = m.name
 	}
--- a/internal/config/settings/log.go
+++ b/internal/config/settings/log.go
@@ -7,10 +7,10 @@
 
 // Levels, named as in zap.
 const (
-	Debug Level = "Debug"
-	Info  Level = "Info"
-	Warn  Level = "Warn"
-	Error Level = "Error"
+	LevelDebug Level = "Debug"
+	LevelInfo  Level = "Info"
+	LevelWarn  Level = "Warn"
+	LevelError Level = "Error"
 )
 
 // Log configures logging.
@@ -20,16 +20,16 @@
 
 func defaultLog() Log {
 	return Log{
-		Level: Info,
+		Level: LevelInfo,
 	}
 }
 
 // LogTable is the table of Log. Settings of other programs include it too.
 var LogTable = jsonfile.Object[Log]{
 	Members: []jsonfile.Member[Log]{
-		jsonfile.May("Level", func(l *Log) *Level { return &l.Level },
+		jsonfile.Optional("Level", func(l *Log) *Level { return &l.Level },
 			jsonfile.Text[Level]{
-				OneOf: []Level{Debug, Info, Warn, Error},
+				OneOf: []Level{LevelDebug, LevelInfo, LevelWarn, LevelError},
 			},
 			"The least level of a line that is logged."),
 	},
--- a/internal/config/settings/operators.go
+++ b/internal/config/settings/operators.go
@@ -27,12 +27,12 @@
 
 var operatorsTable = jsonfile.Object[Operators]{
 	Members: []jsonfile.Member[Operators]{
-		jsonfile.Need("Teams", func(o *Operators) *[]TeamToken { return &o.Teams },
+		jsonfile.Required("Teams", func(o *Operators) *[]TeamToken { return &o.Teams },
 			jsonfile.List[TeamToken]{
 				Item: teamTokenTable,
 			},
 			"The teams that may edit their document, each with its token."),
-		jsonfile.May("AdminToken", func(o *Operators) *string { return &o.AdminToken }, tokenCodec(true),
+		jsonfile.Optional("AdminToken", func(o *Operators) *string { return &o.AdminToken }, tokenCodec(true),
 			"The token of those who run the system: they may read all documents and reports; without it nobody may."),
 	},
 	Check: checkOperators,
@@ -40,9 +40,9 @@
 
 var teamTokenTable = jsonfile.Object[TeamToken]{
 	Members: []jsonfile.Member[TeamToken]{
-		jsonfile.Need("Team", func(t *TeamToken) *ident.TeamName { return &t.Team }, nameCodec[ident.TeamName](),
+		jsonfile.Required("Team", func(t *TeamToken) *ident.TeamName { return &t.Team }, nameCodec[ident.TeamName](),
 			"The name of the team."),
-		jsonfile.Need("Token", func(t *TeamToken) *string { return &t.Token }, tokenCodec(false),
+		jsonfile.Required("Token", func(t *TeamToken) *string { return &t.Token }, tokenCodec(false),
 			"The team's token, unlike that of any other."),
 	},
 }
@@ -76,12 +76,12 @@
 		tokens[o.AdminToken] = true
 	}
 	for i, t := range o.Teams {
-		item := jsonfile.Index(jsonfile.Join(path, "Teams"), i)
+		item := jsonfile.ItemPath(jsonfile.MemberPath(path, "Teams"), i)
 		if t.Team != "" && teams[t.Team] {
-			faults.Add(jsonfile.Join(item, "Team"), "\""+string(t.Team)+"\" again", "each team once")
+			faults.Add(jsonfile.MemberPath(item, "Team"), "\""+string(t.Team)+"\" again", "each team once")
 		}
 		if t.Token != "" && tokens[t.Token] {
-			faults.Add(jsonfile.Join(item, "Token"), "a token that stands elsewhere too", "a token of its own")
+			faults.Add(jsonfile.MemberPath(item, "Token"), "a token that stands elsewhere too", "a token of its own")
 		}
 		teams[t.Team] = true
 		tokens[t.Token] = true
--- a/internal/config/settings/platform.go
+++ b/internal/config/settings/platform.go
@@ -21,7 +21,7 @@
 
 var platformTable = jsonfile.Object[Platform]{
 	Members: []jsonfile.Member[Platform]{
-		jsonfile.Need("KeyValue", func(p *Platform) *[]string { return &p.KeyValue },
+		jsonfile.Required("KeyValue", func(p *Platform) *[]string { return &p.KeyValue },
 			jsonfile.List[string]{
 				Item: jsonfile.Text[string]{
 					Check: isEndpoint,
@@ -31,7 +31,7 @@
 				Max: maxEndpoints,
 			},
 			"The endpoints of the key-value service, tried in this order."),
-		jsonfile.Need("HostList", func(p *Platform) *string { return &p.HostList }, baseURLCodec(),
+		jsonfile.Required("HostList", func(p *Platform) *string { return &p.HostList }, baseURLCodec(),
 			"The base URL of the list of live and leaving hosts."),
 	},
 }
--- a/internal/config/settings/policy.go
+++ b/internal/config/settings/policy.go
@@ -44,24 +44,24 @@
 
 var policyTable = jsonfile.Object[Policy]{
 	Members: []jsonfile.Member[Policy]{
-		jsonfile.May("Routing", func(p *Policy) *Routing { return &p.Routing },
+		jsonfile.Optional("Routing", func(p *Policy) *Routing { return &p.Routing },
 			jsonfile.Text[Routing]{
 				OneOf: []Routing{LeastCost, Random, RoundRobin, LeastReported},
 			},
 			"How a backend server is chosen for a request; all but LeastCost are there to compare with."),
-		jsonfile.May("MovesWeight", func(p *Policy) *float64 { return &p.MovesWeight },
+		jsonfile.Optional("MovesWeight", func(p *Policy) *float64 { return &p.MovesWeight },
 			jsonfile.Number{
 				Min: 0,
 				Max: 1,
 			},
 			"What moves of models weigh against attainment: 0 looks at attainment only, 1 at moves only."),
-		jsonfile.May("RetryBudgetPercent", func(p *Policy) *int { return &p.RetryBudgetPercent },
+		jsonfile.Optional("RetryBudgetPercent", func(p *Policy) *int { return &p.RetryBudgetPercent },
 			jsonfile.Integer[int]{
 				Min: 0,
 				Max: 100,
 			},
 			"How many retries there may be for a hundred first tries."),
-		jsonfile.May("LinkBudget", func(p *Policy) *unit.Bytes { return &p.LinkBudget },
+		jsonfile.Optional("LinkBudget", func(p *Policy) *unit.Bytes { return &p.LinkBudget },
 			jsonfile.Bytes{
 				Min: 0,
 				Max: 100 * unit.Gibibyte,
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -51,16 +51,16 @@
 
 var settingsTable = jsonfile.Object[Settings]{
 	Members: []jsonfile.Member[Settings]{
-		jsonfile.Need("Host", func(s *Settings) *Host { return &s.Host }, HostTable, ""),
-		jsonfile.Need("Listen", func(s *Settings) *Listen { return &s.Listen }, listenTable, ""),
-		jsonfile.Need("Platform", func(s *Settings) *Platform { return &s.Platform }, platformTable, ""),
-		jsonfile.May("Callers", func(s *Settings) *Callers { return &s.Callers }, callersTable, ""),
-		jsonfile.May("Policy", func(s *Settings) *Policy { return &s.Policy }, policyTable, ""),
-		jsonfile.May("Control", func(s *Settings) *Control { return &s.Control }, controlTable, ""),
-		jsonfile.May("Claims", func(s *Settings) *Claims { return &s.Claims }, claimsTable, ""),
-		jsonfile.Need("Operators", func(s *Settings) *Operators { return &s.Operators }, operatorsTable, ""),
-		jsonfile.May("TLS", func(s *Settings) *TLS { return &s.TLS }, tlsTable, ""),
-		jsonfile.May("Log", func(s *Settings) *Log { return &s.Log }, LogTable, ""),
+		jsonfile.Required("Host", func(s *Settings) *Host { return &s.Host }, HostTable, ""),
+		jsonfile.Required("Listen", func(s *Settings) *Listen { return &s.Listen }, listenTable, ""),
+		jsonfile.Required("Platform", func(s *Settings) *Platform { return &s.Platform }, platformTable, ""),
+		jsonfile.Optional("Callers", func(s *Settings) *Callers { return &s.Callers }, callersTable, ""),
+		jsonfile.Optional("Policy", func(s *Settings) *Policy { return &s.Policy }, policyTable, ""),
+		jsonfile.Optional("Control", func(s *Settings) *Control { return &s.Control }, controlTable, ""),
+		jsonfile.Optional("Claims", func(s *Settings) *Claims { return &s.Claims }, claimsTable, ""),
+		jsonfile.Required("Operators", func(s *Settings) *Operators { return &s.Operators }, operatorsTable, ""),
+		jsonfile.Optional("TLS", func(s *Settings) *TLS { return &s.TLS }, tlsTable, ""),
+		jsonfile.Optional("Log", func(s *Settings) *Log { return &s.Log }, LogTable, ""),
 	},
 }
 
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -30,7 +30,7 @@
 	require.Equal(t, 100*time.Millisecond, got.Claims.Pace)
 	require.Equal(t, 24*time.Hour, got.Claims.Keep)
 	require.Equal(t, LeastCost, got.Policy.Routing)
-	require.Equal(t, Info, got.Log.Level)
+	require.Equal(t, LevelInfo, got.Log.Level)
 	again, err := Read(Write(got))
 	require.NoError(t, err)
 	require.Equal(t, got, again)
--- a/internal/config/settings/tls.go
+++ b/internal/config/settings/tls.go
@@ -11,9 +11,9 @@
 
 var tlsTable = jsonfile.Object[TLS]{
 	Members: []jsonfile.Member[TLS]{
-		jsonfile.May("CertificateFile", func(t *TLS) *string { return &t.CertificateFile }, fileNameCodec(),
+		jsonfile.Optional("CertificateFile", func(t *TLS) *string { return &t.CertificateFile }, fileNameCodec(),
 			"The file of the certificate and its chain, in PEM; with KeyFile, or neither."),
-		jsonfile.May("KeyFile", func(t *TLS) *string { return &t.KeyFile }, fileNameCodec(),
+		jsonfile.Optional("KeyFile", func(t *TLS) *string { return &t.KeyFile }, fileNameCodec(),
 			"The file of the certificate's key, in PEM; with CertificateFile, or neither."),
 	},
 	Check: checkTLS,
@@ -34,8 +34,8 @@
 func checkTLS(t *TLS, path string, faults *jsonfile.Faults) {
 	switch {
 	case t.CertificateFile != "" && t.KeyFile == "":
-		faults.Add(jsonfile.Join(path, "KeyFile"), "nothing", "a file, as CertificateFile is given")
+		faults.Add(jsonfile.MemberPath(path, "KeyFile"), "nothing", "a file, as CertificateFile is given")
 	case t.CertificateFile == "" && t.KeyFile != "":
-		faults.Add(jsonfile.Join(path, "CertificateFile"), "nothing", "a file, as KeyFile is given")
+		faults.Add(jsonfile.MemberPath(path, "CertificateFile"), "nothing", "a file, as KeyFile is given")
 	}
 }
--- a/internal/config/teamdoc/check.go
+++ b/internal/config/teamdoc/check.go
@@ -20,7 +20,7 @@
 			continue // the member table has already reported this fault
 		}
 		if owner, taken := owners[use.name]; taken {
-			faults.Add(jsonfile.Join(path, use.path), strconv.Quote(use.name), "a name other than that of "+owner)
+			faults.Add(jsonfile.MemberPath(path, use.path), strconv.Quote(use.name), "a name other than that of "+owner)
 			continue
 		}
 		owners[use.name] = use.path
@@ -32,22 +32,22 @@
 	shares := 0
 	for i, class := range d.Classes {
 		if class.Name != "" && classes[class.Name] {
-			faults.Add(jsonfile.Join(path, jsonfile.Index("Classes", i)+".Name"), strconv.Quote(string(class.Name)), "each class once")
+			faults.Add(jsonfile.MemberPath(path, jsonfile.ItemPath("Classes", i)+".Name"), strconv.Quote(string(class.Name)), "each class once")
 		}
 		classes[class.Name] = true
 		shares += class.Share
 	}
 	if shares > 100 {
-		faults.Add(jsonfile.Join(path, "Classes"), fmt.Sprintf("shares of %d in all", shares), "at most 100")
+		faults.Add(jsonfile.MemberPath(path, "Classes"), fmt.Sprintf("shares of %d in all", shares), "at most 100")
 	}
 	if d.DefaultClass != "" && len(d.Classes) > 0 && !classes[d.DefaultClass] {
-		faults.Add(jsonfile.Join(path, "DefaultClass"), strconv.Quote(string(d.DefaultClass)), "the name of one of Classes")
+		faults.Add(jsonfile.MemberPath(path, "DefaultClass"), strconv.Quote(string(d.DefaultClass)), "the name of one of Classes")
 	}
 }
 
 func checkModel(m *document.Model, path string, faults *jsonfile.Faults) {
 	if m.MaxReplicas != 0 && m.Replicas > m.MaxReplicas {
-		faults.Add(jsonfile.Join(path, "MaxReplicas"), strconv.Itoa(m.MaxReplicas), fmt.Sprintf("at least Replicas, %d", m.Replicas))
+		faults.Add(jsonfile.MemberPath(path, "MaxReplicas"), strconv.Itoa(m.MaxReplicas), fmt.Sprintf("at least Replicas, %d", m.Replicas))
 	}
 }
 
@@ -55,7 +55,7 @@
 	seen := make(map[string]bool)
 	for i, method := range s.ForbidRepeat {
 		if method != "" && seen[method] {
-			faults.Add(jsonfile.Join(path, jsonfile.Index("ForbidRepeat", i)), strconv.Quote(method), "each method once")
+			faults.Add(jsonfile.MemberPath(path, jsonfile.ItemPath("ForbidRepeat", i)), strconv.Quote(method), "each method once")
 		}
 		seen[method] = true
 	}
@@ -74,7 +74,7 @@
 	var result []nameUse
 	for i := range d.Models {
 		model := &d.Models[i]
-		path := jsonfile.Index("Models", i)
+		path := jsonfile.ItemPath("Models", i)
 		result = append(result, nameUse{
 			name: string(model.Name),
 			path: path + ".Name",
@@ -82,14 +82,14 @@
 		for j, adapter := range model.Adapters {
 			result = append(result, nameUse{
 				name: string(adapter.Name),
-				path: jsonfile.Index(path+".Adapters", j) + ".Name",
+				path: jsonfile.ItemPath(path+".Adapters", j) + ".Name",
 			})
 		}
 	}
 	for i, service := range d.Services {
 		result = append(result, nameUse{
 			name: string(service.Name),
-			path: jsonfile.Index("Services", i) + ".Name",
+			path: jsonfile.ItemPath("Services", i) + ".Name",
 		})
 	}
 	return result
--- a/internal/config/teamdoc/examples_test.go
+++ b/internal/config/teamdoc/examples_test.go
@@ -66,13 +66,13 @@
 		require.True(t, found)
 		require.True(t, service.ForbidsRepeat("POST"))
 		require.False(t, service.ForbidsRepeat("GET"))
-		require.Empty(t, teamdoc.CheckTogether(map[ident.TeamName]*document.Document{
+		require.Empty(t, teamdoc.CheckAll(map[ident.TeamName]*document.Document{
 			doc.Team: doc,
 		}, fleet(14, 48*unit.Gibibyte)))
 		all[doc.Team] = doc
 	}
-	require.Empty(t, teamdoc.CheckTogether(all, fleet(16, 80*unit.Gibibyte)))
-	require.NotEmpty(t, teamdoc.CheckTogether(all, fleet(14, 48*unit.Gibibyte)))
+	require.Empty(t, teamdoc.CheckAll(all, fleet(16, 80*unit.Gibibyte)))
+	require.NotEmpty(t, teamdoc.CheckAll(all, fleet(14, 48*unit.Gibibyte)))
 }
 
 func adapters(doc *document.Document) int {
--- a/internal/config/teamdoc/table.go
+++ b/internal/config/teamdoc/table.go
@@ -48,24 +48,24 @@
 
 var documentTable = jsonfile.Object[document.Document]{
 	Members: []jsonfile.Member[document.Document]{
-		jsonfile.Need("Team", func(d *document.Document) *ident.TeamName { return &d.Team }, teamNameCodec,
+		jsonfile.Required("Team", func(d *document.Document) *ident.TeamName { return &d.Team }, teamNameCodec,
 			"The team that owns the document."),
-		jsonfile.Need("Classes", func(d *document.Document) *[]document.Class { return &d.Classes },
+		jsonfile.Required("Classes", func(d *document.Document) *[]document.Class { return &d.Classes },
 			jsonfile.List[document.Class]{
 				Item: classTable,
 				Min:  1,
 				Max:  maxClasses,
 			},
 			"The classes of callers, the first coming first."),
-		jsonfile.Need("DefaultClass", func(d *document.Document) *ident.ClassName { return &d.DefaultClass }, nameCodec[ident.ClassName](),
+		jsonfile.Required("DefaultClass", func(d *document.Document) *ident.ClassName { return &d.DefaultClass }, nameCodec[ident.ClassName](),
 			"The class of callers that name none: one of Classes."),
-		jsonfile.May("Models", func(d *document.Document) *[]document.Model { return &d.Models },
+		jsonfile.Optional("Models", func(d *document.Document) *[]document.Model { return &d.Models },
 			jsonfile.List[document.Model]{
 				Item: modelTable,
 				Max:  maxModels,
 			},
 			"The models, each of which stays reachable."),
-		jsonfile.May("Services", func(d *document.Document) *[]document.Service { return &d.Services },
+		jsonfile.Optional("Services", func(d *document.Document) *[]document.Service { return &d.Services },
 			jsonfile.List[document.Service]{
 				Item: serviceTable,
 				Max:  maxServices,
@@ -77,9 +77,9 @@
 
 var classTable = jsonfile.Object[document.Class]{
 	Members: []jsonfile.Member[document.Class]{
-		jsonfile.Need("Name", func(c *document.Class) *ident.ClassName { return &c.Name }, nameCodec[ident.ClassName](),
+		jsonfile.Required("Name", func(c *document.Class) *ident.ClassName { return &c.Name }, nameCodec[ident.ClassName](),
 			"The name by which callers say their class."),
-		jsonfile.Need("Share", func(c *document.Class) *int { return &c.Share },
+		jsonfile.Required("Share", func(c *document.Class) *int { return &c.Share },
 			jsonfile.Integer[int]{
 				Min: 0,
 				Max: 100,
@@ -91,25 +91,25 @@
 // MayRepeat has no default, so that every declaration of a model decides it.
 var modelTable = jsonfile.Object[document.Model]{
 	Members: []jsonfile.Member[document.Model]{
-		jsonfile.Need("Name", func(m *document.Model) *ident.ModelName { return &m.Name }, nameCodec[ident.ModelName](),
+		jsonfile.Required("Name", func(m *document.Model) *ident.ModelName { return &m.Name }, nameCodec[ident.ModelName](),
 			"The name by which callers ask for the model; no other model, adapter or service of any team has it."),
-		jsonfile.Need("Version", func(m *document.Model) *ident.Version { return &m.Version }, nameCodec[ident.Version](),
+		jsonfile.Required("Version", func(m *document.Model) *ident.Version { return &m.Version }, nameCodec[ident.Version](),
 			"The version of the weights."),
-		jsonfile.Need("Memory", func(m *document.Model) *unit.Bytes { return &m.Memory },
+		jsonfile.Required("Memory", func(m *document.Model) *unit.Bytes { return &m.Memory },
 			jsonfile.Bytes{
 				Min: 1,
 				Max: maxModelMemory,
 			},
 			"What one replica takes on a backend server, without its adapters."),
-		jsonfile.Need("Replicas", func(m *document.Model) *int { return &m.Replicas }, replicasCodec(),
+		jsonfile.Required("Replicas", func(m *document.Model) *int { return &m.Replicas }, replicasCodec(),
 			"The least number of replicas, each on a server of its own."),
-		jsonfile.Need("MaxReplicas", func(m *document.Model) *int { return &m.MaxReplicas }, replicasCodec(),
+		jsonfile.Required("MaxReplicas", func(m *document.Model) *int { return &m.MaxReplicas }, replicasCodec(),
 			"The greatest number of replicas; at least Replicas."),
-		jsonfile.Need("MayRepeat", func(m *document.Model) *bool { return &m.MayRepeat }, jsonfile.Flag{},
+		jsonfile.Required("MayRepeat", func(m *document.Model) *bool { return &m.MayRepeat }, jsonfile.Boolean{},
 			"Whether running a request twice does no harm; false makes each request run at most once."),
-		jsonfile.Need("Promise", func(m *document.Model) *document.Promise { return &m.Promise }, modelPromiseTable,
+		jsonfile.Required("Promise", func(m *document.Model) *document.Promise { return &m.Promise }, modelPromiseTable,
 			""),
-		jsonfile.May("Adapters", func(m *document.Model) *[]document.Adapter { return &m.Adapters },
+		jsonfile.Optional("Adapters", func(m *document.Model) *[]document.Adapter { return &m.Adapters },
 			jsonfile.List[document.Adapter]{
 				Item: adapterTable,
 				Max:  maxAdapters,
@@ -128,11 +128,11 @@
 
 var adapterTable = jsonfile.Object[document.Adapter]{
 	Members: []jsonfile.Member[document.Adapter]{
-		jsonfile.Need("Name", func(a *document.Adapter) *ident.AdapterName { return &a.Name }, nameCodec[ident.AdapterName](),
+		jsonfile.Required("Name", func(a *document.Adapter) *ident.AdapterName { return &a.Name }, nameCodec[ident.AdapterName](),
 			"The name by which callers ask for the adapter; no other model, adapter or service of any team has it."),
-		jsonfile.Need("Version", func(a *document.Adapter) *ident.Version { return &a.Version }, nameCodec[ident.Version](),
+		jsonfile.Required("Version", func(a *document.Adapter) *ident.Version { return &a.Version }, nameCodec[ident.Version](),
 			"The version of the adapter's weights."),
-		jsonfile.Need("Memory", func(a *document.Adapter) *unit.Bytes { return &a.Memory },
+		jsonfile.Required("Memory", func(a *document.Adapter) *unit.Bytes { return &a.Memory },
 			jsonfile.Bytes{
 				Min: 1,
 				Max: maxModelMemory,
@@ -150,16 +150,16 @@
 
 var modelPromiseTable = jsonfile.Object[document.Promise]{
 	Members: []jsonfile.Member[document.Promise]{
-		jsonfile.Need("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promiseCodec(minPromise),
+		jsonfile.Required("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promiseCodec(minPromise),
 			"The promised time to the first token."),
-		jsonfile.Need("BetweenTokens", func(p *document.Promise) *time.Duration { return &p.BetweenTokens }, promiseCodec(minPromise),
+		jsonfile.Required("BetweenTokens", func(p *document.Promise) *time.Duration { return &p.BetweenTokens }, promiseCodec(minPromise),
 			"The promised time between two tokens."),
 	},
 }
 
 var servicePromiseTable = jsonfile.Object[document.Promise]{
 	Members: []jsonfile.Member[document.Promise]{
-		jsonfile.Need("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promiseCodec(minPromise),
+		jsonfile.Required("FirstToken", func(p *document.Promise) *time.Duration { return &p.FirstToken }, promiseCodec(minPromise),
 			"The promised time to the service's whole answer."),
 	},
 }
@@ -167,9 +167,9 @@
 // ForbidRepeat has no default, so that every declaration of a service decides it.
 var serviceTable = jsonfile.Object[document.Service]{
 	Members: []jsonfile.Member[document.Service]{
-		jsonfile.Need("Name", func(s *document.Service) *ident.ServiceName { return &s.Name }, nameCodec[ident.ServiceName](),
+		jsonfile.Required("Name", func(s *document.Service) *ident.ServiceName { return &s.Name }, nameCodec[ident.ServiceName](),
 			"The name by which callers ask for the service; no other model, adapter or service of any team has it."),
-		jsonfile.Need("ForbidRepeat", func(s *document.Service) *[]string { return &s.ForbidRepeat },
+		jsonfile.Required("ForbidRepeat", func(s *document.Service) *[]string { return &s.ForbidRepeat },
 			jsonfile.List[string]{
 				Item: jsonfile.Text[string]{
 					OneOf: []string{
@@ -179,7 +179,7 @@
 				},
 			},
 			"The HTTP methods whose requests run at most once; may be empty."),
-		jsonfile.Need("Promise", func(s *document.Service) *document.Promise { return &s.Promise }, servicePromiseTable,
+		jsonfile.Required("Promise", func(s *document.Service) *document.Promise { return &s.Promise }, servicePromiseTable,
 			""),
 	},
 	Check: checkService,
--- a/internal/config/teamdoc/teamdoc_test.go
+++ b/internal/config/teamdoc/teamdoc_test.go
@@ -128,7 +128,7 @@
 func TestCheckAllRefusesNameOfTwoTeams(t *testing.T) {
 	a := newDocument("a", newModel("notes", 1, 1))
 	b := newDocument("b", newModel("other", 1, 1), newModel("notes", 1, 1))
-	faults := CheckTogether(docsByTeam(a, b), newServers(100))
+	faults := CheckAll(docsByTeam(a, b), newServers(100))
 	require.EqualError(t, faults, `b.Models[1].Name: found "notes", allowed a name that no other team has (a has it at Models[0].Name)`)
 }
 
@@ -138,24 +138,24 @@
 func TestCheckAllRefusesReplicasThatDoNotFit(t *testing.T) {
 	a := newDocument("a", newModel("big", 60, 2))
 	b := newDocument("b", newModel("wide", 50, 2))
-	require.Empty(t, CheckTogether(docsByTeam(a), newServers(100, 100)))
-	require.Empty(t, CheckTogether(docsByTeam(b), newServers(100, 100)))
-	faults := CheckTogether(docsByTeam(a, b), newServers(100, 100))
+	require.Empty(t, CheckAll(docsByTeam(a), newServers(100, 100)))
+	require.Empty(t, CheckAll(docsByTeam(b), newServers(100, 100)))
+	faults := CheckAll(docsByTeam(a, b), newServers(100, 100))
 	require.EqualError(t, faults, "b.Models[0]: found 2 more replicas of 50B each, adapters with them, "+
 		"allowed what fits beside all other models (220B needed in all, 200B on 2 servers)")
 
 	// One large server does not help: replicas need distinct servers.
-	require.NotEmpty(t, CheckTogether(docsByTeam(a), newServers(1000)))
+	require.NotEmpty(t, CheckAll(docsByTeam(a), newServers(1000)))
 	// Adapters are resident with each replica.
 	a.Models[0].Adapters = []document.Adapter{{
 		Memory: 41,
 	}}
-	require.NotEmpty(t, CheckTogether(docsByTeam(a), newServers(100, 100)))
+	require.NotEmpty(t, CheckAll(docsByTeam(a), newServers(100, 100)))
 	// First fit would fill server 0 with both single replicas and leave no second
 	// server for the pair.
 	c := newDocument("c", newModel("x", 50, 1), newModel("y", 50, 1), newModel("z", 40, 2))
-	require.Empty(t, CheckTogether(docsByTeam(c), newServers(100, 100)))
-	require.Empty(t, CheckTogether(nil, nil))
+	require.Empty(t, CheckAll(docsByTeam(c), newServers(100, 100)))
+	require.Empty(t, CheckAll(nil, nil))
 }
 
 // If the check reports no fault, a placement exists. An exhaustive search verifies
@@ -174,7 +174,7 @@
 			models = append(models, newModel(ident.ModelName(fmt.Sprintf("m%d", i)),
 				unit.Bytes(rapid.Int64Range(1, 60).Draw(t, "memory")), rapid.IntRange(1, 3).Draw(t, "replicas")))
 		}
-		if len(CheckTogether(docsByTeam(newDocument("a", models...)), newServers(capacity...))) > 0 {
+		if len(CheckAll(docsByTeam(newDocument("a", models...)), newServers(capacity...))) > 0 {
 			return
 		}
 		require.True(t, isPlaceable(models, capacity), "%v does not fit %v", models, capacity)
@@ -208,12 +208,12 @@
 
 func TestNeedsMoreMemory(t *testing.T) {
 	before := newDocument("a", newModel("m", 10, 2))
-	require.True(t, NeedsMore(nil, before))
-	require.False(t, NeedsMore(before, nil))
-	require.False(t, NeedsMore(before, newDocument("a", newModel("m", 9, 2))))
-	require.True(t, NeedsMore(before, newDocument("a", newModel("m", 10, 3))))
-	require.True(t, NeedsMore(before, newDocument("a", newModel("m", 11, 1))))
-	require.True(t, NeedsMore(before, newDocument("a", newModel("n", 10, 2))))
+	require.True(t, NeedsMoreMemory(nil, before))
+	require.False(t, NeedsMoreMemory(before, nil))
+	require.False(t, NeedsMoreMemory(before, newDocument("a", newModel("m", 9, 2))))
+	require.True(t, NeedsMoreMemory(before, newDocument("a", newModel("m", 10, 3))))
+	require.True(t, NeedsMoreMemory(before, newDocument("a", newModel("m", 11, 1))))
+	require.True(t, NeedsMoreMemory(before, newDocument("a", newModel("n", 10, 2))))
 }
 
 func BenchmarkCheckAll(b *testing.B) {
@@ -228,7 +228,7 @@
 	all := docsByTeam(newDocument("a", models...))
 	capacity := newServers(memories...)
 	for b.Loop() {
-		if len(CheckTogether(all, capacity)) > 0 {
+		if len(CheckAll(all, capacity)) > 0 {
 			b.Fatal("does not fit")
 		}
 	}
--- a/internal/config/teamdoc/together.go
+++ b/internal/config/teamdoc/together.go
@@ -18,7 +18,7 @@
 	Memory unit.Bytes
 }
 
-// CheckTogether validates the documents of all teams, each valid by itself,
+// CheckAll validates the documents of all teams, each valid by itself,
 // against each other: no name may be used by two teams, and the minimum number of
 // replicas of every model, each with all its adapters, must fit the servers. The
 // path of each fault starts with the team. Name faults are sorted by team, memory
@@ -31,14 +31,14 @@
 // decreasing size), so it may refuse a set that fits but leaves little memory free.
 // The check reserves no memory beyond the minimum, for example for loading a new
 // version beside the old one.
-func CheckTogether(docs map[ident.TeamName]*document.Document, capacity []Server) jsonfile.Faults {
-	faults := CheckNames(docs)
+func CheckAll(docs map[ident.TeamName]*document.Document, capacity []Server) jsonfile.Faults {
+	faults := CheckUniqueNames(docs)
 	return append(faults, checkMemory(docs, capacity)...)
 }
 
-// CheckNames is the part of CheckTogether that checks names. Requests identify
+// CheckUniqueNames is the part of CheckTogether that checks names. Requests identify
 // models, adapters and services by name alone, so a name belongs to one team.
-func CheckNames(docs map[ident.TeamName]*document.Document) jsonfile.Faults {
+func CheckUniqueNames(docs map[ident.TeamName]*document.Document) jsonfile.Faults {
 	type owner struct {
 		team ident.TeamName
 		path string
@@ -48,7 +48,7 @@
 	for _, team := range sortedTeams(docs) {
 		for _, use := range listNameUses(docs[team]) {
 			if first, taken := owners[use.name]; taken && first.team != team {
-				faults.Add(jsonfile.Join(string(team), use.path), strconv.Quote(use.name),
+				faults.Add(jsonfile.MemberPath(string(team), use.path), strconv.Quote(use.name),
 					fmt.Sprintf("a name that no other team has (%s has it at %s)", first.team, first.path))
 				continue
 			}
@@ -79,10 +79,10 @@
 	return memory
 }
 
-// NeedsMore reports whether a document needs more accelerator memory for some
+// NeedsMoreMemory reports whether a document needs more accelerator memory for some
 // model than the previous document: a new model, more replicas, or larger ones. A
 // nil argument means that there is no document.
-func NeedsMore(before, after *document.Document) bool {
+func NeedsMoreMemory(before, after *document.Document) bool {
 	if after == nil {
 		return false
 	}
@@ -152,7 +152,7 @@
 	}
 	var faults jsonfile.Faults
 	for _, demand := range unplaced {
-		path := jsonfile.Join(string(demand.team), jsonfile.Index("Models", demand.index))
+		path := jsonfile.MemberPath(string(demand.team), jsonfile.ItemPath("Models", demand.index))
 		faults.Add(path, fmt.Sprintf("%d more replicas of %s each, adapters with them", demand.replicas, demand.memory),
 			fmt.Sprintf("what fits beside all other models (%s needed in all, %s on %d servers)", needed, available, len(capacity)))
 	}
--- a/internal/control/documents/edit.go
+++ b/internal/control/documents/edit.go
@@ -294,14 +294,14 @@
 		}
 	}
 	docs := m.documentsWith(e)
-	if !teamdoc.NeedsMore(before, e.document) {
+	if !teamdoc.NeedsMoreMemory(before, e.document) {
 		// Crashed servers must not keep a team from reducing what it needs.
-		return refusedOrNil(teamdoc.CheckNames(docs))
+		return refusedOrNil(teamdoc.CheckUniqueNames(docs))
 	}
-	if faults := teamdoc.CheckNames(docs); len(faults) > 0 {
+	if faults := teamdoc.CheckUniqueNames(docs); len(faults) > 0 {
 		return refusedOrNil(faults)
 	}
-	faults := teamdoc.CheckTogether(docs, m.capacity)
+	faults := teamdoc.CheckAll(docs, m.capacity)
 	if len(faults) > 0 && (m.serversNotReported > 0 || len(m.capacity) == 0) {
 		// The capacity is not known yet: right after the start of this host or of a
 		// server, a sound document would otherwise be refused for good.
--- a/internal/control/documents/model_test.go
+++ b/internal/control/documents/model_test.go
@@ -142,7 +142,7 @@
 		if entry.document != nil {
 			docs[entry.version.Team] = entry.document
 		}
-		require.Empty(sim.t, teamdoc.CheckTogether(docs, twoServers), "after revision %d", entry.Revision)
+		require.Empty(sim.t, teamdoc.CheckAll(docs, twoServers), "after revision %d", entry.Revision)
 	}
 }
 
--- a/internal/load/counters/counters.go
+++ b/internal/load/counters/counters.go
@@ -56,12 +56,12 @@
 // Reader reads a fleet's counters. Hosts and servers that are not listed are
 // skipped.
 type Reader struct {
-	// Statuses are the base URLs of the operator listeners of all entry hosts,
+	// StatusURLs are the base URLs of the operator listeners of all entry hosts,
 	// Token is the administrator token for them.
-	Statuses []string
-	Token    string
-	// Servers are the addresses (host:port) of engines and plain services.
-	Servers []string
+	StatusURLs []string
+	Token      string
+	// ServerAddresses are the addresses (host:port) of engines and plain services.
+	ServerAddresses []string
 }
 
 // Snapshot is a fleet's counters at one time.
@@ -86,7 +86,7 @@
 		Moves: make(map[string]map[string]int),
 		Runs:  make(map[ident.RequestID]int),
 	}
-	for _, base := range r.Statuses {
+	for _, base := range r.StatusURLs {
 		status, err := ReadStatus(ctx, base, r.Token)
 		if errors.Is(err, errUnreachable) {
 			continue
@@ -96,7 +96,7 @@
 		}
 		snapshot.Moves[base] = status.Moves
 	}
-	for _, server := range r.Servers {
+	for _, server := range r.ServerAddresses {
 		if err := snapshot.addServer(ctx, server); err != nil {
 			return nil, err
 		}
--- a/internal/load/counters/counters_test.go
+++ b/internal/load/counters/counters_test.go
@@ -37,9 +37,9 @@
 	unreachable := closed.Addr().String()
 	require.NoError(t, closed.Close())
 	reader := Reader{
-		Statuses: []string{server.URL + "/", "http://" + unreachable},
-		Token:    "secret",
-		Servers:  []string{address, address},
+		StatusURLs:      []string{server.URL + "/", "http://" + unreachable},
+		Token:           "secret",
+		ServerAddresses: []string{address, address},
 	}
 	snapshot, err := reader.Read(context.Background())
 	require.NoError(t, err)
--- a/internal/load/demand/arrivals.go
+++ b/internal/load/demand/arrivals.go
@@ -48,8 +48,8 @@
 	service      *Service
 }
 
-// New returns the arrivals of a plan within a span.
-func New(plan Plan, span Span) *Arrivals {
+// NewArrivals returns the arrivals of a plan within a span.
+func NewArrivals(plan Plan, span Span) *Arrivals {
 	a := &Arrivals{
 		plan:        &plan,
 		span:        span,
--- a/internal/load/demand/codec.go
+++ b/internal/load/demand/codec.go
@@ -26,8 +26,8 @@
 	fullPercent          = 100
 )
 
-// Load reads a plan from a file.
-func Load(file string) (Plan, error) {
+// ReadFile reads a plan from a file.
+func ReadFile(file string) (Plan, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return Plan{}, errors.Wrap(err, "read plan")
@@ -69,41 +69,41 @@
 
 var planTable = jsonfile.Object[Plan]{
 	Members: []jsonfile.Member[Plan]{
-		jsonfile.Need("Name", func(p *Plan) *string { return &p.Name }, name[string](),
+		jsonfile.Required("Name", func(p *Plan) *string { return &p.Name }, name[string](),
 			"The name of the plan, for tables."),
-		jsonfile.Need("RequestsPerSecond", func(p *Plan) *float64 { return &p.RequestsPerSecond },
+		jsonfile.Required("RequestsPerSecond", func(p *Plan) *float64 { return &p.RequestsPerSecond },
 			jsonfile.Number{
 				Min: 0,
 				Max: maxRequestsPerSecond,
 			},
 			"The rate of all requests together."),
-		jsonfile.May("Curve", func(p *Plan) *Curve { return &p.Curve }, curveTable,
+		jsonfile.Optional("Curve", func(p *Plan) *Curve { return &p.Curve }, curveTable,
 			""),
-		jsonfile.May("Timeout", func(p *Plan) *time.Duration { return &p.Timeout },
+		jsonfile.Optional("Timeout", func(p *Plan) *time.Duration { return &p.Timeout },
 			duration(time.Millisecond, maxPromise),
 			"How long a caller waits for its whole answer."),
-		jsonfile.May("Models", func(p *Plan) *[]Model { return &p.Models },
+		jsonfile.Optional("Models", func(p *Plan) *[]Model { return &p.Models },
 			jsonfile.List[Model]{
 				Item: modelTable,
 			},
 			"The models asked for."),
-		jsonfile.May("Services", func(p *Plan) *[]Service { return &p.Services },
+		jsonfile.Optional("Services", func(p *Plan) *[]Service { return &p.Services },
 			jsonfile.List[Service]{
 				Item: serviceTable,
 			},
 			"The plain services asked for."),
-		jsonfile.May("Classes", func(p *Plan) *[]Class { return &p.Classes },
+		jsonfile.Optional("Classes", func(p *Plan) *[]Class { return &p.Classes },
 			jsonfile.List[Class]{
 				Item: classTable,
 			},
 			"The classes of callers; without any, requests name none."),
-		jsonfile.Need("Lengths", func(p *Plan) *[]Length { return &p.Lengths },
+		jsonfile.Required("Lengths", func(p *Plan) *[]Length { return &p.Lengths },
 			jsonfile.List[Length]{
 				Item: lengthTable,
 				Min:  1,
 			},
 			"The lengths of messages and their answers."),
-		jsonfile.May("Prefixes", func(p *Plan) *Prefixes { return &p.Prefixes }, prefixesTable,
+		jsonfile.Optional("Prefixes", func(p *Plan) *Prefixes { return &p.Prefixes }, prefixesTable,
 			""),
 	},
 	Check: checkPlan,
@@ -111,24 +111,24 @@
 
 var curveTable = jsonfile.Object[Curve]{
 	Members: []jsonfile.Member[Curve]{
-		jsonfile.May("Kind", func(c *Curve) *CurveKind { return &c.Kind },
+		jsonfile.Optional("Kind", func(c *Curve) *CurveKind { return &c.Kind },
 			jsonfile.Text[CurveKind]{
 				OneOf: []CurveKind{Constant, Night, Burst},
 			},
 			"How the rate changes."),
-		jsonfile.May("Period", func(c *Curve) *time.Duration { return &c.Period }, duration(time.Millisecond, maxSpan),
+		jsonfile.Optional("Period", func(c *Curve) *time.Duration { return &c.Period }, duration(time.Millisecond, maxSpan),
 			"For Night: the length of a day, whose rate halves in its middle."),
-		jsonfile.May("From", func(c *Curve) *time.Duration { return &c.From }, duration(0, maxSpan),
+		jsonfile.Optional("From", func(c *Curve) *time.Duration { return &c.From }, duration(0, maxSpan),
 			"For Burst: how long after the start it begins."),
-		jsonfile.May("For", func(c *Curve) *time.Duration { return &c.For }, duration(time.Millisecond, maxSpan),
+		jsonfile.Optional("For", func(c *Curve) *time.Duration { return &c.For }, duration(time.Millisecond, maxSpan),
 			"For Burst: how long it lasts."),
-		jsonfile.May("Factor", func(c *Curve) *float64 { return &c.Factor },
+		jsonfile.Optional("Factor", func(c *Curve) *float64 { return &c.Factor },
 			jsonfile.Number{
 				Min: 0,
 				Max: maxFactor,
 			},
 			"For Burst: how many times the rate it is."),
-		jsonfile.May("Only", func(c *Curve) *string { return &c.Only },
+		jsonfile.Optional("Only", func(c *Curve) *string { return &c.Only },
 			jsonfile.Text[string]{
 				MayBeEmpty: true,
 			},
@@ -137,95 +137,95 @@
 }
 
 var modelTable = jsonfile.Object[Model]{
-	Fresh: func() Model {
+	NewDefault: func() Model {
 		return Model{
 			StreamedPercent: fullPercent,
 		}
 	},
 	Members: []jsonfile.Member[Model]{
-		jsonfile.Need("Name", func(m *Model) *ident.ModelName { return &m.Name }, name[ident.ModelName](),
+		jsonfile.Required("Name", func(m *Model) *ident.ModelName { return &m.Name }, name[ident.ModelName](),
 			"The model."),
-		jsonfile.Need("Weight", func(m *Model) *float64 { return &m.Weight }, weight(),
+		jsonfile.Required("Weight", func(m *Model) *float64 { return &m.Weight }, weight(),
 			"Its part of all requests, against the other weights."),
-		jsonfile.Need("FirstToken", func(m *Model) *time.Duration { return &m.Promise.FirstToken }, duration(time.Millisecond, maxPromise),
+		jsonfile.Required("FirstToken", func(m *Model) *time.Duration { return &m.Promise.FirstToken }, duration(time.Millisecond, maxPromise),
 			"The promised time to the first token."),
-		jsonfile.Need("BetweenTokens", func(m *Model) *time.Duration { return &m.Promise.BetweenTokens }, duration(time.Millisecond, maxPromise),
+		jsonfile.Required("BetweenTokens", func(m *Model) *time.Duration { return &m.Promise.BetweenTokens }, duration(time.Millisecond, maxPromise),
 			"The promised time between two tokens, on average over an answer."),
-		jsonfile.May("Adapters", func(m *Model) *[]ident.AdapterName { return &m.Adapters },
+		jsonfile.Optional("Adapters", func(m *Model) *[]ident.AdapterName { return &m.Adapters },
 			jsonfile.List[ident.AdapterName]{
 				Item: name[ident.AdapterName](),
 			},
 			"Its adapters that are asked for, each as often as any."),
-		jsonfile.May("AdapterPercent", func(m *Model) *int { return &m.AdapterPercent }, percent(),
+		jsonfile.Optional("AdapterPercent", func(m *Model) *int { return &m.AdapterPercent }, percent(),
 			"How many of a hundred requests go to an adapter."),
-		jsonfile.May("StreamedPercent", func(m *Model) *int { return &m.StreamedPercent }, percent(),
+		jsonfile.Optional("StreamedPercent", func(m *Model) *int { return &m.StreamedPercent }, percent(),
 			"How many of a hundred answers are streamed."),
-		jsonfile.May("KeyedPercent", func(m *Model) *int { return &m.Keys.Percent }, percent(),
+		jsonfile.Optional("KeyedPercent", func(m *Model) *int { return &m.Keys.Percent }, percent(),
 			"How many of a hundred requests carry an Idempotency-Key."),
-		jsonfile.May("TwicePercent", func(m *Model) *int { return &m.Keys.TwicePercent }, percent(),
+		jsonfile.Optional("TwicePercent", func(m *Model) *int { return &m.Keys.TwicePercent }, percent(),
 			"How many of a hundred requests with a key are sent twice."),
 	},
 }
 
 var serviceTable = jsonfile.Object[Service]{
-	Fresh: func() Service {
+	NewDefault: func() Service {
 		return Service{
 			Method: http.MethodPost,
 			Path:   "/",
 		}
 	},
 	Members: []jsonfile.Member[Service]{
-		jsonfile.Need("Name", func(s *Service) *ident.ServiceName { return &s.Name }, name[ident.ServiceName](),
+		jsonfile.Required("Name", func(s *Service) *ident.ServiceName { return &s.Name }, name[ident.ServiceName](),
 			"The service."),
-		jsonfile.Need("Weight", func(s *Service) *float64 { return &s.Weight }, weight(),
+		jsonfile.Required("Weight", func(s *Service) *float64 { return &s.Weight }, weight(),
 			"Its part of all requests, against the other weights."),
-		jsonfile.Need("FirstToken", func(s *Service) *time.Duration { return &s.Promise.FirstToken }, duration(time.Millisecond, maxPromise),
+		jsonfile.Required("FirstToken", func(s *Service) *time.Duration { return &s.Promise.FirstToken }, duration(time.Millisecond, maxPromise),
 			"The promised time to the whole answer."),
-		jsonfile.May("Method", func(s *Service) *string { return &s.Method },
+		jsonfile.Optional("Method", func(s *Service) *string { return &s.Method },
 			jsonfile.Text[string]{
 				OneOf: []string{http.MethodPost, http.MethodPut, http.MethodPatch},
 			},
 			"The HTTP method."),
-		jsonfile.May("Path", func(s *Service) *string { return &s.Path },
+		jsonfile.Optional("Path", func(s *Service) *string { return &s.Path },
 			jsonfile.Text[string]{
 				Check: func(text string) bool { return strings.HasPrefix(text, "/") },
 				Form:  "a path that begins with /",
 			},
 			"The path within the service."),
-		jsonfile.May("KeyedPercent", func(s *Service) *int { return &s.Keys.Percent }, percent(),
+		jsonfile.Optional("KeyedPercent", func(s *Service) *int { return &s.Keys.Percent }, percent(),
 			"How many of a hundred requests carry an Idempotency-Key."),
-		jsonfile.May("TwicePercent", func(s *Service) *int { return &s.Keys.TwicePercent }, percent(),
+		jsonfile.Optional("TwicePercent", func(s *Service) *int { return &s.Keys.TwicePercent }, percent(),
 			"How many of a hundred requests with a key are sent twice."),
 	},
 }
 
 var classTable = jsonfile.Object[Class]{
 	Members: []jsonfile.Member[Class]{
-		jsonfile.Need("Name", func(c *Class) *ident.ClassName { return &c.Name }, name[ident.ClassName](),
+		jsonfile.Required("Name", func(c *Class) *ident.ClassName { return &c.Name }, name[ident.ClassName](),
 			"The class, as the team's document has it."),
-		jsonfile.Need("Weight", func(c *Class) *float64 { return &c.Weight }, weight(),
+		jsonfile.Required("Weight", func(c *Class) *float64 { return &c.Weight }, weight(),
 			"Its part of all requests, against the other weights."),
 	},
 }
 
 var lengthTable = jsonfile.Object[Length]{
 	Members: []jsonfile.Member[Length]{
-		jsonfile.Need("Words", func(l *Length) *int { return &l.Words }, count(1, maxWords),
+		jsonfile.Required("Words", func(l *Length) *int { return &l.Words }, count(1, maxWords),
 			"The words of the message."),
-		jsonfile.Need("Tokens", func(l *Length) *int { return &l.Tokens }, count(1, maxTokens),
+		jsonfile.Required("Tokens", func(l *Length) *int { return &l.Tokens }, count(1, maxTokens),
 			"The tokens asked for as an answer."),
-		jsonfile.Need("Weight", func(l *Length) *float64 { return &l.Weight }, weight(),
+		jsonfile.Required("Weight", func(l *Length) *float64 { return &l.Weight }, weight(),
 			"Its part of all requests, against the other weights."),
 	},
 }
 
 var prefixesTable = jsonfile.Object[Prefixes]{
 	Members: []jsonfile.Member[Prefixes]{
-		jsonfile.May("Count", func(p *Prefixes) *int { return &p.Count }, count(0, maxPrefixes),
+		jsonfile.Optional("Count", func(p *Prefixes) *int { return &p.Count }, count(0, maxPrefixes),
 			"How many texts there are for each model; 0 for none."),
-		jsonfile.May("Words", func(p *Prefixes) *int { return &p.Words }, count(0, maxWords),
+		jsonfile.Optional("Words", func(p *Prefixes) *int { return &p.Words }, count(0, maxWords),
 			"The words of each."),
-		jsonfile.May("Percent", func(p *Prefixes) *int { return &p.Percent }, percent(),
+		jsonfile.Optional("Percent", func(p *Prefixes) *int { return &p.Percent }, percent(),
 			"How many of a hundred chats begin with one of them."),
 	},
 }
@@ -273,7 +273,7 @@
 		known[string(p.Models[i].Name)] = true
 		total += p.Models[i].Weight
 		if p.Models[i].AdapterPercent > 0 && len(p.Models[i].Adapters) == 0 {
-			at := jsonfile.Join(jsonfile.Index(jsonfile.Join(path, "Models"), i), "Adapters")
+			at := jsonfile.MemberPath(jsonfile.ItemPath(jsonfile.MemberPath(path, "Models"), i), "Adapters")
 			faults.Add(at, "none", "at least one, since AdapterPercent is above 0")
 		}
 	}
@@ -285,10 +285,10 @@
 		faults.Add(path, "no model or service with a weight above 0", "at least one")
 	}
 	if p.Curve.Only != "" && !known[p.Curve.Only] {
-		faults.Add(jsonfile.Join(path, "Curve.Only"), `"`+p.Curve.Only+`"`, "the name of one of Models or Services")
+		faults.Add(jsonfile.MemberPath(path, "Curve.Only"), `"`+p.Curve.Only+`"`, "the name of one of Models or Services")
 	}
-	checkWeights(jsonfile.Join(path, "Lengths"), p.Lengths, func(l Length) float64 { return l.Weight }, faults)
-	checkWeights(jsonfile.Join(path, "Classes"), p.Classes, func(c Class) float64 { return c.Weight }, faults)
+	checkWeights(jsonfile.MemberPath(path, "Lengths"), p.Lengths, func(l Length) float64 { return l.Weight }, faults)
+	checkWeights(jsonfile.MemberPath(path, "Classes"), p.Classes, func(c Class) float64 { return c.Weight }, faults)
 }
 
 func checkWeights[T any](path string, items []T, weight func(T) float64, faults *jsonfile.Faults) {
--- a/internal/load/demand/demand_test.go
+++ b/internal/load/demand/demand_test.go
@@ -29,7 +29,7 @@
 }
 
 func drawAll(plan Plan, seed uint64, length time.Duration) []Request {
-	arrivals := New(plan, Span{
+	arrivals := NewArrivals(plan, Span{
 		Seed:  seed,
 		Start: start,
 		End:   start.Add(length),
--- a/internal/load/experiment/cases.go
+++ b/internal/load/experiment/cases.go
@@ -107,8 +107,8 @@
 	return append([]Case(nil), cases...)
 }
 
-// CaseOf returns the case of that name, or false.
-func CaseOf(name string) (Case, bool) {
+// FindCase returns the case of that name, or false.
+func FindCase(name string) (Case, bool) {
 	for _, each := range cases {
 		if each.Name == name {
 			return each, true
--- a/internal/load/experiment/experiment.go
+++ b/internal/load/experiment/experiment.go
@@ -55,7 +55,7 @@
 	// Log is the logger of the hosts; nil discards their log.
 	Log *zap.Logger
 	// Done, if set, is called with each outcome as its run ends.
-	Done func(*Outcome)
+	OnOutcome func(*Outcome)
 }
 
 // Outcome is the result of one run.
@@ -96,8 +96,8 @@
 						return &report, errors.Wrapf(err, "%s, %s, seed %d", each.Name, policy, seed)
 					}
 					report.Outcomes = append(report.Outcomes, outcome)
-					if options.Done != nil {
-						options.Done(&outcome)
+					if options.OnOutcome != nil {
+						options.OnOutcome(&outcome)
 					}
 				}
 			}
@@ -137,11 +137,11 @@
 	start := time.Now().Add(setupLead)
 	injector := startFault(ctx, testCase, running, options, start)
 	var collector result.Collector
-	sender := openloop.Load{
+	sender := openloop.Sender{
 		Targets: running.Targets(),
 		Record:  collector.Add,
 	}
-	err = sender.Run(ctx, demand.New(plan, demand.Span{
+	err = sender.Run(ctx, demand.NewArrivals(plan, demand.Span{
 		Seed:  outcome.Seed,
 		Start: start,
 		End:   start.Add(options.Length),
@@ -158,6 +158,6 @@
 	if err != nil {
 		return summary, err
 	}
-	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRun())
+	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRunRequests())
 	return summary, nil
 }
--- a/internal/load/experiment/experiment_test.go
+++ b/internal/load/experiment/experiment_test.go
@@ -68,10 +68,10 @@
 // Guards against a fault that is never injected: its case would be the same as the
 // normal one, and every policy would look good in it.
 func TestCasesRunOnSmallFleet(t *testing.T) {
-	size, _ := sizes.Of(sizes.Nour, 0.01)
+	size, _ := sizes.ForUser(sizes.Nour, 0.01)
 	size.RequestsPerSecond = 20
-	hang, _ := CaseOf("hang")
-	kill, _ := CaseOf("kill")
+	hang, _ := FindCase("hang")
+	kill, _ := FindCase("kill")
 	report, err := Run(context.Background(), Options{
 		Size:     size,
 		Cases:    []Case{hang, kill},
--- a/internal/load/fleet/fleet_test.go
+++ b/internal/load/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestSmallFleetAnswersRequests(t *testing.T) {
-	size, found := sizes.Of(sizes.Kerlouan, 0.01)
+	size, found := sizes.ForUser(sizes.Kerlouan, 0.01)
 	require.True(t, found)
 	ctx := context.Background()
 	running, err := Start(ctx, Options{
@@ -38,12 +38,12 @@
 	plan := size.Plan()
 	plan.RequestsPerSecond = 20
 	var collector result.Collector
-	load := openloop.Load{
+	load := openloop.Sender{
 		Targets: running.Targets(),
 		Record:  collector.Add,
 	}
 	start := time.Now()
-	require.NoError(t, load.Run(ctx, demand.New(plan, demand.Span{
+	require.NoError(t, load.Run(ctx, demand.NewArrivals(plan, demand.Span{
 		Seed:  1,
 		Start: start,
 		End:   start.Add(time.Second),
@@ -53,7 +53,7 @@
 	require.Zero(t, summary.Foreign+summary.Wrong+summary.Duplicates+summary.Cut)
 	after, err := running.Counters(ctx)
 	require.NoError(t, err)
-	fleet := counters.Compare(before, after, summary.Tokens, collector.NotRun())
+	fleet := counters.Compare(before, after, summary.Tokens, collector.NotRunRequests())
 	require.Zero(t, fleet.Overcommits+fleet.RunsOfRefused)
 	require.GreaterOrEqual(t, fleet.TokensGenerated, summary.Tokens)
 }
--- a/internal/load/fleet/ready.go
+++ b/internal/load/fleet/ready.go
@@ -175,12 +175,12 @@
 // Counters reads the fleet's counters; moves come from the hosts that are not killed.
 func (f *Fleet) Counters(ctx context.Context) (*counters.Snapshot, error) {
 	reader := counters.Reader{
-		Token:   adminToken,
-		Servers: f.serverAddresses,
+		Token:           adminToken,
+		ServerAddresses: f.serverAddresses,
 	}
 	for number, running := range f.Hosts {
 		if !f.isKilled[number] {
-			reader.Statuses = append(reader.Statuses, "http://"+running.OperatorsAddress)
+			reader.StatusURLs = append(reader.StatusURLs, "http://"+running.OperatorsAddress)
 		}
 	}
 	return reader.Read(ctx)
--- a/internal/load/openloop/openloop.go
+++ b/internal/load/openloop/openloop.go
@@ -61,8 +61,8 @@
 	Next() (demand.Request, bool)
 }
 
-// Load sends requests. Targets and Record must be set.
-type Load struct {
+// Sender sends requests. Targets and Record must be set.
+type Sender struct {
 	// Targets are the caller-facing addresses of entry hosts, as host:port.
 	Targets []string
 	// MaxOpen is the maximum number of requests open at once.
@@ -78,7 +78,7 @@
 // Run sends all arrivals and returns when the last request has ended. If the context
 // ends first, it abandons the open requests, sends no more and returns the error of
 // the context.
-func (s *Load) Run(ctx context.Context, arrivals Arrivals) error {
+func (s *Sender) Run(ctx context.Context, arrivals Arrivals) error {
 	if len(s.Targets) == 0 {
 		return errors.New("targets: found none, allowed at least one")
 	}
@@ -109,7 +109,7 @@
 }
 
 // schedule starts each request at its arrival.
-func (s *Load) schedule(ctx context.Context, sending *tomb.Tomb, arrivals Arrivals) error {
+func (s *Sender) schedule(ctx context.Context, sending *tomb.Tomb, arrivals Arrivals) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
--- a/internal/load/openloop/openloop_test.go
+++ b/internal/load/openloop/openloop_test.go
@@ -130,7 +130,7 @@
 }
 
 // runLoad sends requests and returns their records by name.
-func runLoad(t *testing.T, load *Load, arrivals Arrivals) map[string]*result.Record {
+func runLoad(t *testing.T, load *Sender, arrivals Arrivals) map[string]*result.Record {
 	t.Helper()
 	var mu sync.Mutex
 	records := make(map[string]*result.Record)
@@ -144,7 +144,7 @@
 }
 
 func TestAnswersAreClassifiedByKindAndContent(t *testing.T) {
-	records := runLoad(t, &Load{
+	records := runLoad(t, &Sender{
 		Targets: []string{startFakeHost(t)},
 	}, simultaneousRequests("good", "whole", "desk", "busy", "foreign", "short", "cut", "unended"))
 	kinds := make(map[string]string)
@@ -182,7 +182,7 @@
 	}))
 	defer server.Close()
 	var collector result.Collector
-	load := Load{
+	load := Sender{
 		Targets: []string{server.Listener.Addr().String()},
 		MaxOpen: 2,
 		Record: func(record *result.Record) {
@@ -202,13 +202,13 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
-	records := runLoad(t, &Load{
+	records := runLoad(t, &Sender{
 		Targets: []string{listener.Addr().String(), startFakeHost(t)},
 	}, simultaneousRequests("good", "whole"))
 	require.Equal(t, result.Answered, records["good"].Kind)
 	require.Equal(t, result.Answered, records["whole"].Kind)
 
-	alone := runLoad(t, &Load{
+	alone := runLoad(t, &Sender{
 		Targets: []string{listener.Addr().String()},
 	}, simultaneousRequests("good"))
 	require.Equal(t, result.NoAnswer, alone["good"].Kind)
@@ -245,7 +245,7 @@
 	}
 	arrivals.ended <- struct{}{}
 	var kinds []result.Kind
-	load := Load{
+	load := Sender{
 		Targets: []string{server.Listener.Addr().String()},
 		Record: func(record *result.Record) {
 			kinds = append(kinds, record.Kind)
@@ -268,7 +268,7 @@
 	arrivals := simultaneousRequests("open", "never")
 	(*arrivals)[1].At = time.Now().Add(time.Hour)
 	var collector result.Collector
-	load := Load{
+	load := Sender{
 		Targets: []string{server.Listener.Addr().String()},
 		Record:  collector.Add,
 	}
--- a/internal/load/openloop/send.go
+++ b/internal/load/openloop/send.go
@@ -57,7 +57,7 @@
 }
 
 // send sends one request and returns its record once the answer has ended.
-func (s *Load) send(ctx context.Context, request *demand.Request) *result.Record {
+func (s *Sender) send(ctx context.Context, request *demand.Request) *result.Record {
 	record := &result.Record{
 		Request:  request,
 		SentLate: time.Since(request.At),
@@ -84,7 +84,7 @@
 
 // sendToTargets sends a request to the first target that accepts a connection. It
 // makes at most as many attempts as there are targets.
-func (s *Load) sendToTargets(ctx context.Context, request *demand.Request) (*http.Response, error) {
+func (s *Sender) sendToTargets(ctx context.Context, request *demand.Request) (*http.Response, error) {
 	for range len(s.balancer.targets) - 1 {
 		target := s.balancer.pick(request.Random, time.Now())
 		response, err := s.sendTo(ctx, target.address, request)
@@ -97,7 +97,7 @@
 	return s.sendTo(ctx, target.address, request)
 }
 
-func (s *Load) sendTo(ctx context.Context, address string, request *demand.Request) (*http.Response, error) {
+func (s *Sender) sendTo(ctx context.Context, address string, request *demand.Request) (*http.Response, error) {
 	method, path, body := encodeRequest(request)
 	outgoing, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/load/result/collector.go
+++ b/internal/load/result/collector.go
@@ -161,9 +161,9 @@
 	(*counts)[key]++
 }
 
-// NotRun returns the requests whose refusal said that they were not run, up to a
+// NotRunRequests returns the requests whose refusal said that they were not run, up to a
 // limit.
-func (c *Collector) NotRun() []ident.RequestID {
+func (c *Collector) NotRunRequests() []ident.RequestID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]ident.RequestID(nil), c.notRun...)
--- a/internal/load/result/result_test.go
+++ b/internal/load/result/result_test.go
@@ -136,7 +136,7 @@
 	require.InDelta(t, 2, s.Goodput, 1e-9)
 	require.Equal(t, map[string]int{"too_busy NotRun": 1, "too_busy MayHaveRun": 1, "cut stream_cut": 1}, s.Refusals)
 	require.Equal(t, map[string]int{"no connection": 1}, s.Causes)
-	require.Equal(t, []ident.RequestID{"r1"}, collector.NotRun())
+	require.Equal(t, []ident.RequestID{"r1"}, collector.NotRunRequests())
 	require.Equal(t, int64(7), s.FirstToken.Count)
 	require.InEpsilon(t, time.Second, s.FirstToken.P99, 0.01)
 
--- a/internal/load/sizes/sizes.go
+++ b/internal/load/sizes/sizes.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Of returns the size of a user, scaled. At scale 1 it matches the users' requirements.
-func Of(user string, scale float64) (Size, bool) {
+// ForUser returns the size of a user, scaled. At scale 1 it matches the users' requirements.
+func ForUser(user string, scale float64) (Size, bool) {
 	switch user {
 	case Kerlouan:
 		return kerlouanSize(scale), true
--- a/internal/load/sizes/sizes_test.go
+++ b/internal/load/sizes/sizes_test.go
@@ -12,7 +12,7 @@
 
 func TestUnscaledSizesMatchRequirements(t *testing.T) {
 	for user, number := range map[string]int{Kerlouan: 15, Nour: 20} {
-		size, found := Of(user, 1)
+		size, found := ForUser(user, 1)
 		require.True(t, found)
 		adapters := 0
 		for i := range size.Models {
@@ -24,14 +24,14 @@
 		require.Equal(t, 3, size.Service.Replicas)
 		require.Equal(t, 7, size.Hosts)
 	}
-	_, found := Of("nobody", 1)
+	_, found := ForUser("nobody", 1)
 	require.False(t, found)
 }
 
 func TestDocumentAndPlanAreValidAtAnyScale(t *testing.T) {
 	for _, user := range []string{Kerlouan, Nour} {
 		for _, scale := range []float64{0.01, 0.25, 0.5, 1, 1.5} {
-			size, _ := Of(user, scale)
+			size, _ := ForUser(user, scale)
 			_, err := teamdoc.Write(size.Document())
 			require.NoError(t, err)
 			plan, err := demand.Read(demand.Write(size.Plan()))
