--- a/internal/command/program/program.go
+++ b/internal/command/program/program.go
@@ -40,8 +40,8 @@
 const (
 	ExitOK      = 0
 	ExitFailure = 1
-	// ExitInvalidInput is the code for invalid input: arguments, settings or a document
-	// that is refused.
+	// ExitInvalidInput is for arguments, settings or a document that the program
+	// refuses.
 	ExitInvalidInput = 2
 )
 
@@ -78,7 +78,7 @@
 	return e.cause.Error()
 }
 
-// InputErrorf formats an error for which Run returns ExitInput.
+// InputErrorf formats an error for which Run returns ExitInvalidInput.
 func InputErrorf(format string, args ...any) error {
 	return inputError{
 		cause: errors.Errorf(format, args...),
--- a/internal/config/jsonfile/doc.go
+++ b/internal/config/jsonfile/doc.go
@@ -2,8 +2,8 @@
 // people edit: settings and team documents.
 //
 // A file format is declared once, as a table: an Object with a Member for each
-// field, each with the Codec of its type (Text, Integer, Number, Flag, Duration,
-// Bytes, List, Map or another Object). Read, Write and Describe all work from
+// field, each with the Codec of its type (Text, Integer, Number, Boolean,
+// Duration, Bytes, List, Map or another Object). Read, Write and Describe all use
 // that table. Reading is strict and does not stop at the first fault: the error,
 // of type Faults, lists every fault with the path of the field, what was found
 // and what is allowed. Tables are not modified after they are built, so
@@ -13,7 +13,7 @@
 //
 //	var listen = jsonfile.Object[Listen]{
 //		Members: []jsonfile.Member[Listen]{
-//			jsonfile.Need("Callers", func(l *Listen) *string { return &l.Callers },
+//			jsonfile.Required("Callers", func(l *Listen) *string { return &l.Callers },
 //				jsonfile.Text[string]{
 //					Max: 64,
 //				},
--- a/internal/config/jsonfile/object.go
+++ b/internal/config/jsonfile/object.go
@@ -8,8 +8,8 @@
 // Object is the codec of a JSON object that is stored in a struct.
 type Object[T any] struct {
 	Members []Member[T]
-	// NewDefault returns the default value of an object that is an item of a list or
-	// map, or optional. If it is nil, the default is the zero value.
+	// NewDefault returns the default value of an object that is an item of a list
+	// or map. If it is nil, the default is the zero value.
 	NewDefault func() T
 	// Check, if set, checks constraints between members. A member that is invalid
 	// or missing has its default here: Check should skip it.
--- a/internal/config/jsonfile/parse.go
+++ b/internal/config/jsonfile/parse.go
@@ -47,15 +47,15 @@
 
 // describeFound describes the value, short enough for one line.
 func (n *node) describeFound() string {
-	const longest = 60
+	const maxTextBytes = 60
 	switch n.kind {
 	case kindBool:
 		return strconv.FormatBool(n.boolean)
 	case kindNumber:
 		return n.text
 	case kindString:
-		if len(n.text) > longest {
-			return fmt.Sprintf("%q... (%d bytes)", n.text[:longest], len(n.text))
+		if len(n.text) > maxTextBytes {
+			return fmt.Sprintf("%q... (%d bytes)", n.text[:maxTextBytes], len(n.text))
 		}
 		return strconv.Quote(n.text)
 	case kindList:
--- a/internal/config/teamdoc/together.go
+++ b/internal/config/teamdoc/together.go
@@ -36,8 +36,9 @@
 	return append(faults, checkMemory(docs, capacity)...)
 }
 
-// CheckUniqueNames is the part of CheckTogether that checks names. Requests identify
-// models, adapters and services by name alone, so a name belongs to one team.
+// CheckUniqueNames is the part of CheckAll that checks names. Requests identify
+// models, adapters and services by name alone, so a name may belong to one team
+// only.
 func CheckUniqueNames(docs map[ident.TeamName]*document.Document) jsonfile.Faults {
 	type owner struct {
 		team ident.TeamName
