--- a/internal/load/counters/counters.go
+++ b/internal/load/counters/counters.go
@@ -6,14 +6,14 @@
 // # Usage
 //
 //	reader := counters.Reader{
-//		Statuses: []string{"http://127.0.0.1:8081"},
-//		Token:    token,
-//		Servers:  []string{"127.0.0.1:9001"},
+//		StatusURLs:      []string{"http://127.0.0.1:8081"},
+//		Token:           token,
+//		ServerAddresses: []string{"127.0.0.1:9001"},
 //	}
 //	before, err := reader.Read(ctx)
 //	... the load run ...
 //	after, err := reader.Read(ctx)
-//	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRun())
+//	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRunRequests())
 //
 // # Moves
 //
--- a/internal/load/demand/demand.go
+++ b/internal/load/demand/demand.go
@@ -6,8 +6,8 @@
 //
 // # Usage
 //
-//	plan, err := demand.Load("kerlouan.load.json")
-//	arrivals := demand.New(plan, demand.Span{
+//	plan, err := demand.ReadFile("kerlouan.load.json")
+//	arrivals := demand.NewArrivals(plan, demand.Span{
 //		Seed:  7,
 //		Start: start,
 //		End:   start.Add(30 * time.Second),
--- a/internal/load/experiment/experiment.go
+++ b/internal/load/experiment/experiment.go
@@ -54,7 +54,7 @@
 	MovesWeight float64
 	// Log is the logger of the hosts; nil discards their log.
 	Log *zap.Logger
-	// Done, if set, is called with each outcome as its run ends.
+	// OnOutcome, if set, is called with each outcome as its run ends.
 	OnOutcome func(*Outcome)
 }
 
--- a/internal/load/fleet/fleet_test.go
+++ b/internal/load/fleet/fleet_test.go
@@ -38,12 +38,12 @@
 	plan := size.Plan()
 	plan.RequestsPerSecond = 20
 	var collector result.Collector
-	load := openloop.Sender{
+	sender := openloop.Sender{
 		Targets: running.Targets(),
 		Record:  collector.Add,
 	}
 	start := time.Now()
-	require.NoError(t, load.Run(ctx, demand.NewArrivals(plan, demand.Span{
+	require.NoError(t, sender.Run(ctx, demand.NewArrivals(plan, demand.Span{
 		Seed:  1,
 		Start: start,
 		End:   start.Add(time.Second),
--- a/internal/load/openloop/openloop.go
+++ b/internal/load/openloop/openloop.go
@@ -6,12 +6,12 @@
 // # Usage
 //
 //	var collector result.Collector
-//	load := openloop.Load{
+//	sender := openloop.Sender{
 //		Targets: []string{"127.0.0.1:8080", "127.0.0.1:8090"},
 //		MaxOpen: 4096,
 //		Record:  collector.Add,
 //	}
-//	err := load.Run(ctx, demand.New(plan, span))
+//	err := sender.Run(ctx, demand.NewArrivals(plan, span))
 //
 // # Bounds
 //
@@ -29,7 +29,7 @@
 // # Concurrency
 //
 // Run starts one goroutine that waits for the arrivals, and one for each open
-// request. A Load runs once at a time.
+// request. A Sender runs once at a time.
 package openloop
 
 import (
--- a/internal/load/openloop/openloop_test.go
+++ b/internal/load/openloop/openloop_test.go
@@ -129,22 +129,22 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// runLoad sends requests and returns their records by name.
-func runLoad(t *testing.T, load *Sender, arrivals Arrivals) map[string]*result.Record {
+// sendAll sends requests and returns their records by name.
+func sendAll(t *testing.T, sender *Sender, arrivals Arrivals) map[string]*result.Record {
 	t.Helper()
 	var mu sync.Mutex
 	records := make(map[string]*result.Record)
-	load.Record = func(record *result.Record) {
+	sender.Record = func(record *result.Record) {
 		mu.Lock()
 		defer mu.Unlock()
 		records[record.Request.Name] = record
 	}
-	require.NoError(t, load.Run(context.Background(), arrivals))
+	require.NoError(t, sender.Run(context.Background(), arrivals))
 	return records
 }
 
 func TestAnswersAreClassifiedByKindAndContent(t *testing.T) {
-	records := runLoad(t, &Sender{
+	records := sendAll(t, &Sender{
 		Targets: []string{startFakeHost(t)},
 	}, simultaneousRequests("good", "whole", "desk", "busy", "foreign", "short", "cut", "unended"))
 	kinds := make(map[string]string)
@@ -182,7 +182,7 @@
 	}))
 	defer server.Close()
 	var collector result.Collector
-	load := Sender{
+	sender := Sender{
 		Targets: []string{server.Listener.Addr().String()},
 		MaxOpen: 2,
 		Record: func(record *result.Record) {
@@ -192,7 +192,7 @@
 			}
 		},
 	}
-	require.NoError(t, load.Run(context.Background(), simultaneousRequests("a", "b", "c")))
+	require.NoError(t, sender.Run(context.Background(), simultaneousRequests("a", "b", "c")))
 	counts := collector.Summary(time.Second, 0).Counts
 	require.Equal(t, 1, counts.NotSent)
 	require.Equal(t, 2, counts.Refused)
@@ -202,13 +202,13 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
-	records := runLoad(t, &Sender{
+	records := sendAll(t, &Sender{
 		Targets: []string{listener.Addr().String(), startFakeHost(t)},
 	}, simultaneousRequests("good", "whole"))
 	require.Equal(t, result.Answered, records["good"].Kind)
 	require.Equal(t, result.Answered, records["whole"].Kind)
 
-	alone := runLoad(t, &Sender{
+	alone := sendAll(t, &Sender{
 		Targets: []string{listener.Addr().String()},
 	}, simultaneousRequests("good"))
 	require.Equal(t, result.NoAnswer, alone["good"].Kind)
@@ -245,14 +245,14 @@
 	}
 	arrivals.ended <- struct{}{}
 	var kinds []result.Kind
-	load := Sender{
+	sender := Sender{
 		Targets: []string{server.Listener.Addr().String()},
 		Record: func(record *result.Record) {
 			kinds = append(kinds, record.Kind)
 			arrivals.ended <- struct{}{}
 		},
 	}
-	require.NoError(t, load.Run(context.Background(), &arrivals))
+	require.NoError(t, sender.Run(context.Background(), &arrivals))
 	require.Equal(t, []result.Kind{result.Answered, result.NoAnswer}, kinds)
 	require.Equal(t, int64(2), numReceived.Load())
 }
@@ -268,10 +268,10 @@
 	arrivals := simultaneousRequests("open", "never")
 	(*arrivals)[1].At = time.Now().Add(time.Hour)
 	var collector result.Collector
-	load := Sender{
+	sender := Sender{
 		Targets: []string{server.Listener.Addr().String()},
 		Record:  collector.Add,
 	}
-	require.ErrorIs(t, load.Run(ctx, arrivals), context.Canceled)
+	require.ErrorIs(t, sender.Run(ctx, arrivals), context.Canceled)
 	require.Equal(t, map[string]int{"interrupted": 1}, collector.Summary(time.Second, 0).Causes)
 }
--- a/internal/load/sizes/sizes.go
+++ b/internal/load/sizes/sizes.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	size, found := sizes.Of("kerlouan", 0.5)
+//	size, found := sizes.ForUser("kerlouan", 0.5)
 //	doc, plan := size.Document(), size.Plan()
 //
 // # Where the values come from
