--- a/internal/peer/gatewaypeer/codec.go
+++ b/internal/peer/gatewaypeer/codec.go
@@ -214,8 +214,8 @@
 	return update
 }
 
-// encodeEngine groups the inventory by model, so that an adapter takes no more than its
-// name.
+// encodeEngine groups the inventory by model, so that a model's name isn't repeated for each
+// of its adapters.
 func encodeEngine(e *holdings.Engine) *gatewaypeerpb.Engine {
 	wire := &gatewaypeerpb.Engine{
 		Server:      string(e.Server),
--- a/internal/peer/gatewaypeer/gatewaypeer.go
+++ b/internal/peer/gatewaypeer/gatewaypeer.go
@@ -59,8 +59,9 @@
 	PackedConfiguration  []byte
 	// LeaderToken is the sender's fencing number, 0 unless it is the leader.
 	LeaderToken ident.FencingNumber
-	// LastOrderAt is the latest instant, by the receiver's clock, at which the sender's process
-	// may have sent an order: before its start it sent none.
+	// LastOrderAt is the latest instant, by the receiver's clock, at which the sender may have
+	// sent an order: when its process last sent one, or when that process started, since an
+	// earlier one may have until then.
 	LastOrderAt time.Time
 	Demand      []Demand
 	Suspects    []suspects.Suspect
