--- a/internal/traffic/relay/choose.go
+++ b/internal/traffic/relay/choose.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// takeQueuedTicket takes a ticket, and asks the prompt scheduler again for as long as it keeps
-// the prompt in its queue.
+// takeQueuedTicket takes a ticket, and asks the prompt scheduler again for as long as it
+// neither reserves a slot nor finds all engines overloaded.
 func (s *requestState) takeQueuedTicket(ctx context.Context, criteria balance.Criteria) (*balance.Ticket, balance.Verdict) {
 	ticket, verdict := s.takeTicket(ctx, criteria)
 	for s.queued && ctx.Err() == nil {
--- a/internal/traffic/relay/serving.go
+++ b/internal/traffic/relay/serving.go
@@ -46,7 +46,8 @@
 	// releaseReservation releases the engine's slot that is reserved for the current send;
 	// nil without a reservation.
 	releaseReservation func()
-	// queued reports that the prompt is still in the scheduler's queue, and may ask again.
+	// queued reports that the scheduler could not reserve a slot yet, and is to be asked
+	// again.
 	queued bool
 	// overloadedFor is for how long all engines that can answer are booked ahead, set if
 	// that is too long for this request.
--- a/internal/traffic/relay/stream.go
+++ b/internal/traffic/relay/stream.go
@@ -108,8 +108,9 @@
 	s.writer.WriteHeader(response.StatusCode)
 }
 
-// isNextEvent reports whether an event id follows the last one. A number that is left out
-// after the first event of an answer is a piece that the client would miss.
+// isNextEvent reports whether an event id follows the last one. The first event of a stream
+// that the client doesn't resume may have any number. After it, a gap in the numbers is a
+// piece that the client would miss.
 func (s *requestState) isNextEvent(id string) bool {
 	number, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
