--- a/internal/control/balance/choose.go
+++ b/internal/control/balance/choose.go
@@ -224,8 +224,9 @@
 	decodeStepTime = 18 * time.Millisecond
 )
 
-// recordPrefill learns from the time to the first token of an answer with at least so many
-// uncached tokens: the measured time is never too short for them.
+// recordPrefill updates a model's prefill time per token by the time to the first token of an
+// answer. The engine prefilled at least so many tokens for it, so a sample may be too long,
+// but never too short.
 func (p *Pool) recordPrefill(model ident.ModelName, tokens float64, took time.Duration) {
 	known, measured := p.secondsPerToken[model]
 	if !measured {
