--- a/internal/control/pacing/pacing.go
+++ b/internal/control/pacing/pacing.go
@@ -82,7 +82,7 @@
 const maxSendDelay = 350 * time.Millisecond
 
 // maxBacklog bounds an engine's backlog. Between maxSendDelay and maxBacklog prompts are sent
-// at once, and the backlog still tells which engine has less queued work, and when an engine is
+// at once, and the backlog still shows which engine has less queued work, and when an engine is
 // overloaded. The bound makes a backlog recover soon that wrong estimates have driven too high.
 const maxBacklog = 2 * time.Second
 
--- a/internal/control/pacing/pacing_test.go
+++ b/internal/control/pacing/pacing_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// The other region's engines are 0.12 s away. A prompt goes there only if the near engine has a
-// larger backlog than that, and a reservation that is refused leaves no backlog.
+// The other region's engines are 0.12 s away. A prompt is sent there only if the near engine has
+// a larger backlog than that, and a reservation that is refused leaves no backlog.
 func TestReserveRefusesAboveMaxCost(t *testing.T) {
 	var backlogs PrefillBacklogs
 	near := equalCandidates(50*time.Millisecond, "near")
--- a/internal/control/pacing/queue.go
+++ b/internal/control/pacing/queue.go
@@ -15,8 +15,8 @@
 //
 // An engine serves the prompts beyond its slots in the order of arrival: prompts that wait
 // there start when their callers are about to leave, while a replica that has just been loaded
-// is idle. A prompt in this queue goes to whichever engine is free first, and not in the order
-// of arrival: prompts that can still be in time go before those that can't. Under overload,
+// is idle. A prompt in this queue is sent to whichever engine is free first. Prompts that can
+// still be in time go before those that can't, whatever their order of arrival: under overload,
 // first come, first served would make all prompts late.
 type Queue struct {
 	mu       sync.Mutex
@@ -122,7 +122,7 @@
 	q.grantFree(now)
 }
 
-// UpdateLoads stores the loads that engines report, and grants the slots that are free by them.
+// UpdateLoads stores the loads that engines report, and grants the slots that they show free.
 func (q *Queue) UpdateLoads(now time.Time, loads []ServerLoad) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/control/pacing/slots.go
+++ b/internal/control/pacing/slots.go
@@ -15,10 +15,10 @@
 	// free slot travels to the scheduler and the next prompt from its host to the engine. One
 	// of 32 slots becomes free every 50 ms; the two prompts that wait there lose 0.1 s at most.
 	slotsPerExtraPrompt = 16
-	// maxReportAge is the greatest age of an engine's load report on arrival: some hundred
-	// milliseconds at the engine, a round of reports, which takes a second at some hundred
-	// engines, and a round each of a watcher and of the hosts. An older report would free the
-	// slots of prompts that have been sent since.
+	// maxReportAge is the greatest age at which a load report of an engine is used. The age on
+	// arrival is the sum of some hundred milliseconds at the engine, a round of reports, which
+	// takes a second at some hundred engines, and a round each of a watcher and of the hosts.
+	// An older report would free the slots of prompts that have been sent since.
 	maxReportAge = 3 * time.Second
 	// reportValidity is for how long a load report corrects the scheduler's own count.
 	reportValidity = 3 * time.Second
