--- a/internal/control/loading/bench_test.go
+++ b/internal/control/loading/bench_test.go
@@ -13,7 +13,7 @@
 )
 
 // BenchmarkStep measures one step with demand for all models and adapters and no order to
-// give, for three fleet sizes. The leader runs ten steps per second. The targets on one
+// return, for three fleet sizes. The leader runs ten steps per second. The targets on one
 // core are 1 ms for 240 engines and 5 ms for 850. Searching all engines for a model's
 // replicas, instead of keeping lists of each model's engines and each engine's models,
 // costs 2.4 ms instead of 0.45 ms for 90 engines, 12.1 ms instead of 1.2 ms for 240, and
--- a/internal/control/loading/loading.go
+++ b/internal/control/loading/loading.go
@@ -71,7 +71,7 @@
 
 // Timing and limits of orders.
 const (
-	// retirementNotice is how long before an unload the hosts are told to send requests
+	// retirementNotice is how long before an unload the hosts are notified to send requests
 	// elsewhere: two rounds of their exchange with the leader.
 	retirementNotice = 500 * time.Millisecond
 	// resendAfter is when an unanswered order is sent again. It names the same count, so at
@@ -267,11 +267,11 @@
 	slices.SortFunc(p.sortedEngines, func(a, b *engine) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// ApplyReport applies an engine's report. Reports of another incarnation are ignored, and so are
-// reports that do not count an order yet which the engine has accepted. If reports keep a
-// lower count than the answers for longer than maxReportLag, the answers were wrong and the
-// report is applied: an engine whose reports were ignored for good would count as lost with
-// all its models.
+// ApplyReport applies an engine's report. Reports of another incarnation are ignored, and
+// so are reports that do not yet count an order that the engine has accepted. If reports
+// keep a lower count than the answers for longer than maxReportLag, the answers were wrong
+// and the report is applied: an engine whose reports were ignored for good would count as
+// lost with all its models.
 func (p *Planner) ApplyReport(report *backend.Report) {
 	e, known := p.engines[report.Server]
 	if !known || report.Incarnation != e.Incarnation {
--- a/internal/control/loading/placement.go
+++ b/internal/control/loading/placement.go
@@ -112,13 +112,13 @@
 
 // maxRemainingUnrequested is the highest work per remaining replica at which a model may
 // lose a replica to a missing model that nobody requests. After a loss of engines all
-// memory is in use; a busy model that gave up its last replica but one would make hundreds
+// memory is in use; a busy model that is left with a single replica would make hundreds
 // of requests late for no benefit.
 //
 // Once the missing model is requested, the limit is maxRemainingRequested, and it grows by
 // remainingIncreasePerSecond for each second that the model is missing: models that would
-// be left with far more work than they can do give up a replica only if no other model has
-// done so by then.
+// be left with far more work than they can do lose a replica only if no other model has
+// lost one by then.
 const (
 	maxRemainingUnrequested    = 0.3
 	maxRemainingRequested      = 0.6
--- a/internal/control/loading/rebalance.go
+++ b/internal/control/loading/rebalance.go
@@ -22,7 +22,7 @@
 	// model, to be considered.
 	minUtilizationGap = 0.15
 	// gainToLossRatio is the factor by which a replica's gain for one model must exceed the
-	// loss for the model that gives up its memory. With a lower ratio, two models of
+	// loss for the model that frees the memory. With a lower ratio, two models of
 	// similar demand would keep displacing each other.
 	gainToLossRatio = 1.5
 	// placementHorizon is how long a placement is of use before demand shifts again: a load
--- a/internal/control/loading/rebalance_test.go
+++ b/internal/control/loading/rebalance_test.go
@@ -143,7 +143,7 @@
 
 // After a loss of engines the remaining ones are full of idle models, each with one
 // replica. If all of these are kept, a busy model has two thirds of its prompts refused
-// next to engines without work. One idle model must give up its last replica, and get it
+// next to engines without work. One idle model must lose its last replica, and get it
 // back when it is requested.
 func TestIdleModelLosesLastReplicaAndReloadsOnRequest(t *testing.T) {
 	fleet := newFakeFleet(5, 7)
