--- a/internal/control/retries/lend.go
+++ b/internal/control/retries/lend.go
@@ -8,7 +8,7 @@
 
 // In a large fleet a host's own share is a few retries in a window, and failing servers hit all
 // hosts at random: one has spent its share when others have all of theirs left. So hosts
-// transfer the tokens that they can spare to a host near by, the lender, which lends them one by
+// transfer the tokens that they can spare to a nearby host, the lender, which lends them one by
 // one to hosts that need them.
 //
 // A transferred token counts as spent at its host from the instant of the transfer. The lender
