--- a/internal/control/orders/chaos_test.go
+++ b/internal/control/orders/chaos_test.go
@@ -253,7 +253,7 @@
 	}
 }
 
-// changeVersion gives one model and its adapters other versions. Each host may
+// changeVersion declares other versions of one model and its adapters. Each host may
 // receive the change now or with a later one.
 func (c *chaos) changeVersion() {
 	sim := c.sim
--- a/internal/control/orders/plan_test.go
+++ b/internal/control/orders/plan_test.go
@@ -170,7 +170,7 @@
 	require.Len(t, sim.enginesWithReady("briefing", "1"), 1)
 }
 
-// An order of a deposed leader is lost. The successor's first order gives the engine
+// An order of a deposed leader is lost. The successor's first order brings the engine
 // a greater fencing number. If the engine checks it, the lost order can't take
 // effect after the next report; if not, the order could still arrive and its memory
 // must stay reserved.
--- a/internal/control/orders/poll.go
+++ b/internal/control/orders/poll.go
@@ -62,7 +62,7 @@
 
 // isLeaderHinted reports whether the hint names a leader with at least the fencing
 // number that this host last read. A smaller number means that the hint is stale,
-// or that the key was lost and numbering started again; a poll tells which.
+// or that the key was lost and numbering started again; a poll shows which.
 func (m *Machine) isLeaderHinted() bool {
 	return m.hint.Host != "" && m.hint.Fencing >= m.readFencing
 }
--- a/internal/control/orders/poll_test.go
+++ b/internal/control/orders/poll_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Whatever leader the peers report, regular pollers poll in every interval: it is
-// they who find the key of a crashed leader free.
+// Whatever leader the peers report, regular pollers poll in every interval: they
+// are the first to find the key of a crashed leader free.
 func TestRegularPollersPollWhateverTheHint(t *testing.T) {
 	for rank := range RegularPollers {
 		polls := countPolls(New(Settings{}), time.Minute, func(int) LeaderHint {
--- a/internal/control/orders/simulation_test.go
+++ b/internal/control/orders/simulation_test.go
@@ -211,7 +211,7 @@
 	sim.renewLease(h)
 }
 
-// renewLease tells a host until when it holds its lease, by its own clock.
+// renewLease sends a host the time until which it holds its lease, by its own clock.
 func (sim *simulation) renewLease(h *fakeHost) {
 	until := sim.now.Add(6 * time.Second)
 	if h.trustsLease {
