--- a/internal/control/routing/choose.go
+++ b/internal/control/routing/choose.go
@@ -30,7 +30,7 @@
 	Fingerprint uint64
 	// PairOnly restricts the choice to the two replicas preferred for PrefixHash and
 	// Fingerprint. All hosts find the same two, so that no more than two replicas
-	// run a content, however many copies of the request arrive at however many
+	// run requests with one content, however many copies arrive at however many
 	// hosts.
 	PairOnly bool
 	// Tried has the servers that have already been sent the request, in its first
--- a/internal/control/routing/choose_test.go
+++ b/internal/control/routing/choose_test.go
@@ -228,7 +228,7 @@
 	require.Positive(t, f.countChoices(target, engineName(0)))
 }
 
-// If prefixes moved between replicas each time a server comes or goes, all prompts
+// If prefixes moved between replicas each time a server is added or removed, all prompts
 // would miss the prefix caches. Only the prefixes of a removed server may move.
 func TestRemovedServerMovesOnlyItsPrefixes(t *testing.T) {
 	f := newTestFleet(12, 1, 12, 0)
--- a/internal/control/routing/machine.go
+++ b/internal/control/routing/machine.go
@@ -80,7 +80,7 @@
 	Host ident.HostID
 }
 
-// ServerLeaving says that one incarnation of a server is known to be leaving from
+// ServerLeaving says that one incarnation of a server is leaving, as known from
 // another source than the server list.
 type ServerLeaving struct {
 	Server      ident.ServerName
@@ -123,8 +123,8 @@
 	}
 }
 
-// InFlight returns the requests that this host has in flight at each server, for
-// its peers.
+// InFlight returns the number of requests that this host has in flight at each
+// server, for its peers.
 func (m *Machine) InFlight() map[ident.ServerName]int64 {
 	requests := make(map[ident.ServerName]int64)
 	for name, server := range m.servers {
--- a/internal/control/routing/table.go
+++ b/internal/control/routing/table.go
@@ -101,7 +101,8 @@
 	roundTrip time.Duration
 }
 
-// missingDuration is longer than it takes to receive the report that says so.
+// missingDuration is how long MarkMissing applies: longer than it takes to receive
+// the report that shows the same.
 const missingDuration = 2 * time.Second
 
 // MarkMissing records that the server has answered that it does not have what the
