--- a/internal/control/orders/change_test.go
+++ b/internal/control/orders/change_test.go
@@ -85,7 +85,7 @@
 	require.Len(t, sim.enginesWithReady("briefing", "1"), 2)
 }
 
-// A server crashes with its replicas. They are loaded elsewhere after DeadAfter,
+// A server crashes with its replicas. They are loaded elsewhere after ServerTimeout,
 // and the orders of the crashed server do not use up the load budget.
 func TestSilentServerIsReplaced(t *testing.T) {
 	sim := newSimulation(1, newDocument(newModel("briefing", "1", 40, 1)), newEngine(0, 60, true), newEngine(1, 60, true))
--- a/internal/control/orders/draft.go
+++ b/internal/control/orders/draft.go
@@ -35,8 +35,8 @@
 }
 
 // planAndWrite plans the next moves and writes their orders to the plan, one swap
-// at a time and at most one per PlanEvery, so that the number of writes does not
-// grow with the fleet.
+// at a time and at most one per MinPlanInterval, so that the number of writes
+// does not grow with the fleet.
 func (m *Machine) planAndWrite(now time.Time) []Command {
 	if m.phase != phaseLeading || now.Before(m.nextPlanAt) {
 		return nil
--- a/internal/control/orders/orders.go
+++ b/internal/control/orders/orders.go
@@ -44,7 +44,7 @@
 // as resident from the start of their load to the end of their unload, and as not
 // ready while either is in progress. It finally lists every order that it accepted
 // or refused in Settled, except those that its fencing check refused, and keeps
-// more of them than Settings.OrdersPerServer.
+// more of them than Settings.MaxOrdersPerServer.
 //
 // # Requirements on senders
 //
--- a/internal/control/orders/poll.go
+++ b/internal/control/orders/poll.go
@@ -6,7 +6,7 @@
 	"cicadaloom/internal/domain/ident"
 )
 
-// RegularPollers hosts poll the leader key once in every LeaderPoll interval. The
+// RegularPollers hosts poll the leader key once in every LeaderPollInterval. The
 // others take turns, so that the number of polls does not grow with the fleet, and
 // some host polls soon even if the leader and all regular pollers crash together.
 const (
--- a/internal/control/orders/settings.go
+++ b/internal/control/orders/settings.go
@@ -27,7 +27,7 @@
 	// ServerTimeout is how long a listed server may be without a report before
 	// its replicas are replaced.
 	ServerTimeout time.Duration
-	// MaxModelLoads and AdaptersInTransit bound the loads in progress in the fleet.
+	// MaxModelLoads and MaxAdapterLoads bound the loads in progress in the fleet.
 	MaxModelLoads   int
 	MaxAdapterLoads int
 	// ModelLoadsPerSecond limits the rate at which model loads start.
--- a/internal/control/orders/view.go
+++ b/internal/control/orders/view.go
@@ -86,7 +86,7 @@
 }
 
 // isCounted reports whether a server's residents count as replicas. A silent server
-// counts for DeadAfter, so that a lost report or a new leader causes no moves.
+// counts for ServerTimeout, so that a lost report or a new leader causes no moves.
 func (m *Machine) isCounted(now time.Time, s *server) bool {
 	if !s.listed {
 		return m.hasFreshReport(now, s) && !s.report.Leaving // the list may lag behind the report
