--- a/internal/control/loading/load_rate.go
+++ b/internal/control/loading/load_rate.go
@@ -50,10 +50,10 @@
 	p.modelsBefore = history.Models
 }
 
-// noteRestart records that an engine has restarted empty. Its former models have been
+// recordRestart records that an engine has restarted empty. Its former models have been
 // counted already: if they were counted again, many engines that restart together would use
 // up the rate limit that they need to load models.
-func (p *Planner) noteRestart(server *Server) {
+func (p *Planner) recordRestart(server *Server) {
 	if p.modelsBefore != nil {
 		p.modelsBefore[server.Name] = LoadedModels{
 			Incarnation: server.Incarnation,
--- a/internal/control/loading/loading.go
+++ b/internal/control/loading/loading.go
@@ -243,7 +243,7 @@
 		e, known := p.engines[server.Name]
 		if !known || e.Incarnation != server.Incarnation || e.Address != server.Address {
 			if known && e.reported {
-				p.noteRestart(&server)
+				p.recordRestart(&server)
 			}
 			e = &engine{
 				confirmedAdapters: make(map[request.Weights]time.Time),
