--- a/internal/control/routing/history.go
+++ b/internal/control/routing/history.go
@@ -40,14 +40,14 @@
 // record stores a change of the count.
 func (h *countHistory) record(now time.Time, before, after int64) {
 	number := sliceNumber(now)
-	cell := &h.slices[number%historySliceCount]
+	slice := &h.slices[number%historySliceCount]
 	for {
-		old := cell.Load()
+		old := slice.Load()
 		first := clampCount(before)
 		if old>>(2*countBits) == number {
 			first = old >> countBits & countMask
 		}
-		if cell.CompareAndSwap(old, number<<(2*countBits)|first<<countBits|clampCount(after)) {
+		if slice.CompareAndSwap(old, number<<(2*countBits)|first<<countBits|clampCount(after)) {
 			return
 		}
 	}
--- a/internal/control/routing/measure_test.go
+++ b/internal/control/routing/measure_test.go
@@ -74,7 +74,7 @@
 		preferred := simulate(options)
 		options.ignorePrefix = true
 		random := simulate(options)
-		t.Logf("rate %v: home %v; chance %v", rate, preferred, random)
+		t.Logf("rate %v: preferred replica %v; random %v", rate, preferred, random)
 		require.Greater(t, preferred.hitRate, 2*random.hitRate)
 		require.LessOrEqual(t, preferred.p95, random.p95)
 	}
