--- a/internal/control/claims/fault_test.go
+++ b/internal/control/claims/fault_test.go
@@ -294,20 +294,20 @@
 	f.runFor(time.Second)
 	f.claim(0, "boat", "a1")
 	f.runFor(time.Second)
-	var trail outcome.AttemptHistory
-	trail.RecordSend("a1")
+	var attemptHistory outcome.AttemptHistory
+	attemptHistory.RecordSend("a1")
 	release := Release{
 		Team:    testTeam,
 		Key:     "boat",
 		Attempt: "a1",
-		Outcome: trail.Outcome(),
+		Outcome: attemptHistory.Outcome(),
 	}
 	f.step(f.hosts[f.names[0]], release)
 	f.runFor(time.Second)
 	require.False(t, f.recorded["a1"])
 	require.Contains(t, f.recorded, ident.AttemptID("a1"))
-	trail.RecordRefusal("a1")
-	release.Outcome = trail.Outcome()
+	attemptHistory.RecordRefusal("a1")
+	release.Outcome = attemptHistory.Outcome()
 	f.checker.released["a1"] = true
 	f.step(f.hosts[f.names[0]], release)
 	f.runFor(time.Second)
