--- a/internal/command/cicadaloom/serve.go
+++ b/internal/command/cicadaloom/serve.go
@@ -44,11 +44,11 @@
 	file := flags.String("settings", "", "the settings `file` of this host")
 	return func(_ context.Context, to program.Streams, _ []string) error {
 		if *file == "" {
-			return program.BadInput("-settings: found none, allowed a settings file")
+			return program.InputErrorf("-settings: found none, allowed a settings file")
 		}
 		loaded, err := settings.Load(*file)
 		if err != nil {
-			return program.BadInput("%v", err)
+			return program.InputErrorf("%v", err)
 		}
 		return serve(to, loaded)
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(to.Out, "ready callers=%s operators=%s peers=%s\n", running.Callers, running.Operators, running.Peers)
+	fmt.Fprintf(to.Out, "ready callers=%s operators=%s peers=%s\n", running.CallersAddress, running.OperatorsAddress, running.PeersAddress)
 	first := <-signals
 	log.Info("stopping", zap.String("Signal", first.String()))
 	ctx, cancel := context.WithTimeout(context.Background(), loaded.Callers.DrainTimeout)
--- a/internal/command/loadtool/run.go
+++ b/internal/command/loadtool/run.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// runFlags are the flags of run.
+// runFlags are the flags of the run command.
 type runFlags struct {
 	plan         string
 	targets      string
@@ -56,8 +56,8 @@
 	engines      string
 }
 
-// warmUp is how long after the command's start the first request may arrive.
-const warmUp = 100 * time.Millisecond
+// startDelay is the time from the start of the load to its first possible request.
+const startDelay = 100 * time.Millisecond
 
 func prepareRun(flags *flag.FlagSet) program.Runner {
 	var f runFlags
@@ -77,9 +77,9 @@
 
 func (f *runFlags) run(ctx context.Context, to program.Streams, _ []string) error {
 	if f.plan == "" || f.targets == "" || f.length <= 0 {
-		return program.BadInput("found no -plan, no -targets or a -for of 0, allowed all three")
+		return program.InputErrorf("found no -plan, no -targets or a -for of 0, allowed all three")
 	}
-	plan, err := demand.Load(f.plan)
+	plan, err := demand.ReadFile(f.plan)
 	if err != nil {
 		return err
 	}
@@ -101,25 +101,25 @@
 	return errors.Wrap(os.WriteFile(f.out, body, 0o644), "-out")
 }
 
-// load sends the load and reads the fleet's counters around it.
+// load sends the load, and reads the fleet's counters before and after it.
 func (f *runFlags) load(ctx context.Context, plan demand.Plan) (*result.Summary, error) {
 	reader := counters.Reader{
-		Statuses: split(f.status),
-		Token:    f.token,
-		Servers:  split(f.engines),
+		StatusURLs:      split(f.status),
+		Token:           f.token,
+		ServerAddresses: split(f.engines),
 	}
 	before, err := reader.Read(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var collector result.Collector
-	load := openloop.Load{
+	load := openloop.Sender{
 		Targets: split(f.targets),
 		MaxOpen: f.maxOpen,
 		Record:  collector.Add,
 	}
-	start := time.Now().Add(warmUp)
-	err = load.Run(ctx, demand.New(plan, demand.Span{
+	start := time.Now().Add(startDelay)
+	err = load.Run(ctx, demand.NewArrivals(plan, demand.Span{
 		Seed:  f.seed,
 		Start: start,
 		End:   start.Add(f.length),
@@ -135,16 +135,16 @@
 	if f.status == "" && f.engines == "" {
 		return &summary, nil
 	}
-	// A load that was ended early is compared too.
+	// After a cancelled load the counters are read all the same, so without cancellation.
 	after, err := reader.Read(context.WithoutCancel(ctx))
 	if err != nil {
 		return nil, err
 	}
-	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRun())
+	summary.Fleet = counters.Compare(before, after, summary.Tokens, collector.NotRunRequests())
 	return &summary, nil
 }
 
-// split reads a list with commas.
+// split returns the items of a comma-separated list, without blanks and empty items.
 func split(list string) []string {
 	var items []string
 	for _, item := range strings.Split(list, ",") {
--- a/internal/config/settings/claims.go
+++ b/internal/config/settings/claims.go
@@ -7,16 +7,17 @@
 	"cicadaloom/internal/domain/unit"
 )
 
-// Claims says how requests that may not be repeated are claimed. It has to be
-// the same on all hosts: two hosts with different partitions would look for the
-// claim of one request in two places.
+// Claims configures the claims of requests that may not be repeated. It must be
+// the same on all hosts: two hosts with different partition counts would look for
+// the claim of the same request in different partitions.
 type Claims struct {
 	Partitions int
-	// Pace is the least time between two writes of one partition.
+	// Pace is the minimum interval between two writes of one partition.
 	Pace time.Duration
-	// Keep is how long a claim is remembered.
+	// Keep is the retention time of a claim.
 	Keep time.Duration
-	// SegmentSize is how large a segment grows before the next is begun.
+	// SegmentSize is the size at which a segment is full and the next one is
+	// started.
 	SegmentSize unit.Bytes
 }
 
@@ -31,25 +32,25 @@
 
 var claimsTable = jsonfile.Object[Claims]{
 	Members: []jsonfile.Member[Claims]{
-		jsonfile.May("Partitions", func(c *Claims) *int { return &c.Partitions },
+		jsonfile.Optional("Partitions", func(c *Claims) *int { return &c.Partitions },
 			jsonfile.Integer[int]{
 				Min: 1,
 				Max: 1024,
 			},
 			"Into how many partitions claims are spread; the same on every host, and never changed while claims are kept."),
-		jsonfile.May("Pace", func(c *Claims) *time.Duration { return &c.Pace },
+		jsonfile.Optional("Pace", func(c *Claims) *time.Duration { return &c.Pace },
 			jsonfile.Duration{
 				Min: 0,
 				Max: 5 * time.Second,
 			},
 			"The least time between two writes of one partition."),
-		jsonfile.May("Keep", func(c *Claims) *time.Duration { return &c.Keep },
+		jsonfile.Optional("Keep", func(c *Claims) *time.Duration { return &c.Keep },
 			jsonfile.Duration{
 				Min: time.Minute,
 				Max: 30 * 24 * time.Hour,
 			},
 			"How long a claim is remembered: a repeat after that would run again."),
-		jsonfile.May("SegmentSize", func(c *Claims) *unit.Bytes { return &c.SegmentSize },
+		jsonfile.Optional("SegmentSize", func(c *Claims) *unit.Bytes { return &c.SegmentSize },
 			jsonfile.Bytes{
 				Min: 512 * unit.Byte,
 				Max: 512 * unit.Kibibyte,
--- a/internal/config/settings/log.go
+++ b/internal/config/settings/log.go
@@ -2,34 +2,34 @@
 
 import "cicadaloom/internal/config/jsonfile"
 
-// Level is the least level of a line that is logged.
+// Level is the minimum level of log lines.
 type Level string
 
-// The levels, as zap names them.
+// Levels, named as in zap.
 const (
-	Debug Level = "Debug"
-	Info  Level = "Info"
-	Warn  Level = "Warn"
-	Error Level = "Error"
+	LevelDebug Level = "Debug"
+	LevelInfo  Level = "Info"
+	LevelWarn  Level = "Warn"
+	LevelError Level = "Error"
 )
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level Level
 }
 
 func defaultLog() Log {
 	return Log{
-		Level: Info,
+		Level: LevelInfo,
 	}
 }
 
-// LogTable reads what is logged; settings of other programs have it too.
+// LogTable is the table of Log. Settings of other programs include it too.
 var LogTable = jsonfile.Object[Log]{
 	Members: []jsonfile.Member[Log]{
-		jsonfile.May("Level", func(l *Log) *Level { return &l.Level },
+		jsonfile.Optional("Level", func(l *Log) *Level { return &l.Level },
 			jsonfile.Text[Level]{
-				OneOf: []Level{Debug, Info, Warn, Error},
+				OneOf: []Level{LevelDebug, LevelInfo, LevelWarn, LevelError},
 			},
 			"The least level of a line that is logged."),
 	},
--- a/internal/load/fleet/fleet_test.go
+++ b/internal/load/fleet/fleet_test.go
@@ -20,8 +20,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-func TestSmallFleetServesALoad(t *testing.T) {
-	size, found := sizes.Of(sizes.Kerlouan, 0.01)
+func TestSmallFleetAnswersRequests(t *testing.T) {
+	size, found := sizes.ForUser(sizes.Kerlouan, 0.01)
 	require.True(t, found)
 	ctx := context.Background()
 	running, err := Start(ctx, Options{
@@ -32,18 +32,18 @@
 	defer func() { require.NoError(t, running.Stop()) }()
 	before, err := running.Counters(ctx)
 	require.NoError(t, err)
-	declared := counters.Compare(&counters.Snapshot{}, before, 0, nil)
-	require.GreaterOrEqual(t, declared.Moves, len(size.Models), "the loads of the set-up are moves")
+	setup := counters.Compare(&counters.Snapshot{}, before, 0, nil)
+	require.GreaterOrEqual(t, setup.Moves, len(size.Models), "model loads during set-up count as moves")
 
 	plan := size.Plan()
 	plan.RequestsPerSecond = 20
 	var collector result.Collector
-	load := openloop.Load{
+	sender := openloop.Sender{
 		Targets: running.Targets(),
 		Record:  collector.Add,
 	}
 	start := time.Now()
-	require.NoError(t, load.Run(ctx, demand.New(plan, demand.Span{
+	require.NoError(t, sender.Run(ctx, demand.NewArrivals(plan, demand.Span{
 		Seed:  1,
 		Start: start,
 		End:   start.Add(time.Second),
@@ -53,7 +53,7 @@
 	require.Zero(t, summary.Foreign+summary.Wrong+summary.Duplicates+summary.Cut)
 	after, err := running.Counters(ctx)
 	require.NoError(t, err)
-	fleet := counters.Compare(before, after, summary.Tokens, collector.NotRun())
+	fleet := counters.Compare(before, after, summary.Tokens, collector.NotRunRequests())
 	require.Zero(t, fleet.Overcommits+fleet.RunsOfRefused)
 	require.GreaterOrEqual(t, fleet.TokensGenerated, summary.Tokens)
 }
--- a/internal/load/openloop/openloop.go
+++ b/internal/load/openloop/openloop.go
@@ -1,28 +1,35 @@
-// Package openloop sends requests to entry hosts at the instants at which they
-// arrive, whatever is still open, as callers do who know nothing of each other.
+// Package openloop sends requests to entry hosts at their planned arrival times,
+// regardless of how many are still unanswered (an open-loop load generator). Each
+// answer is read, classified and handed to a callback as a result.Record. The load
+// tool and package experiment call it.
 //
 // # Usage
 //
 //	var collector result.Collector
-//	load := openloop.Load{
+//	sender := openloop.Sender{
 //		Targets: []string{"127.0.0.1:8080", "127.0.0.1:8090"},
 //		MaxOpen: 4096,
 //		Record:  collector.Add,
 //	}
-//	err := load.Run(ctx, demand.New(plan, span))
+//	err := sender.Run(ctx, demand.NewArrivals(plan, span))
 //
 // # Bounds
 //
-// At most MaxOpen requests are open at once. One that arrives beyond that is
-// not sent and recorded so; waiting for a place would turn the load into a
+// At most MaxOpen requests are open at once. One that arrives beyond that is not
+// sent, and recorded as result.NotSent. Waiting for another to end would make this a
 // closed loop, which slows down with the servers that it measures.
 //
 // # Targets
 //
-// Requests are spread at random over the targets. As the platform's balancer
-// does, the tool passes over a target for a second when no connection to it
-// comes about. A request of which anything may have been sent is never sent
-// again, also not by net/http.
+// Requests are distributed at random over the targets. Like the platform's load
+// balancer, this package skips a target for a second after a connection to it fails,
+// and sends the request to another. A request of which anything may have been sent
+// is never sent again, not by net/http either.
+//
+// # Concurrency
+//
+// Run starts one goroutine that waits for the arrivals, and one for each open
+// request. A Sender runs once at a time.
 package openloop
 
 import (
@@ -40,68 +47,69 @@
 )
 
 const (
-	// DefaultMaxOpen is MaxOpen where it is 0.
+	// DefaultMaxOpen is used if MaxOpen is 0.
 	DefaultMaxOpen = 4096
 	dialTimeout    = 2 * time.Second
 	idleTimeout    = 30 * time.Second
-	// grace is how long after its deadline a request is given up: the server's
-	// own word on the deadline comes first.
-	grace = time.Second
+	// deadlineGrace is how long after its deadline a request is abandoned, so that
+	// the server's own refusal at the deadline arrives before that.
+	deadlineGrace = time.Second
 )
 
-// Arrivals gives the requests in the order of their arrival, then false.
+// Arrivals returns the requests in the order of their arrival, then false.
 type Arrivals interface {
 	Next() (demand.Request, bool)
 }
 
-// Load sends requests. Targets and Record must be set.
-type Load struct {
-	// Targets are the callers' addresses of entry hosts, as host:port.
+// Sender sends requests. Targets and Record must be set.
+type Sender struct {
+	// Targets are the caller-facing addresses of entry hosts, as host:port.
 	Targets []string
-	// MaxOpen bounds the requests that are open at once.
+	// MaxOpen is the maximum number of requests open at once.
 	MaxOpen int
-	// Record gets what became of each request, from many goroutines.
+	// Record is called with the result of each request, from many goroutines.
 	Record func(*result.Record)
 
-	open     atomic.Int64
+	numOpen  atomic.Int64
 	client   *http.Client
 	balancer balancer
 }
 
-// Run sends all arrivals and returns when the last of them has ended. When the
-// context ends before, it gives up what is open and sends no more.
-func (l *Load) Run(ctx context.Context, arrivals Arrivals) error {
-	if len(l.Targets) == 0 {
+// Run sends all arrivals and returns when the last request has ended. If the context
+// ends first, it abandons the open requests, sends no more and returns the error of
+// the context.
+func (s *Sender) Run(ctx context.Context, arrivals Arrivals) error {
+	if len(s.Targets) == 0 {
 		return errors.New("targets: found none, allowed at least one")
 	}
-	if l.MaxOpen <= 0 {
-		l.MaxOpen = DefaultMaxOpen
+	if s.MaxOpen <= 0 {
+		s.MaxOpen = DefaultMaxOpen
 	}
 	transport := &http.Transport{
 		DialContext: (&net.Dialer{
 			Timeout: dialTimeout,
 		}).DialContext,
-		MaxIdleConnsPerHost: l.MaxOpen,
+		MaxIdleConnsPerHost: s.MaxOpen,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 	defer transport.CloseIdleConnections()
-	l.client = &http.Client{
+	s.client = &http.Client{
 		Transport: transport,
 	}
-	l.balancer.targets = make([]target, len(l.Targets))
-	for i, address := range l.Targets {
-		l.balancer.targets[i].address = address
+	s.balancer.targets = make([]target, len(s.Targets))
+	for i, address := range s.Targets {
+		s.balancer.targets[i].address = address
 	}
 	var sending tomb.Tomb
 	sending.Go(func() error {
-		return l.schedule(ctx, &sending, arrivals)
+		return s.schedule(ctx, &sending, arrivals)
 	})
 	return sending.Wait()
 }
 
-// schedule starts each request at its instant.
-func (l *Load) schedule(ctx context.Context, sending *tomb.Tomb, arrivals Arrivals) error {
+// schedule starts each request at its arrival.
+func (s *Sender) schedule(ctx context.Context, sending *tomb.Tomb, arrivals Arrivals) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -115,17 +123,17 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if l.open.Add(1) > int64(l.MaxOpen) {
-			l.open.Add(-1)
-			l.Record(&result.Record{
+		if s.numOpen.Add(1) > int64(s.MaxOpen) {
+			s.numOpen.Add(-1)
+			s.Record(&result.Record{
 				Request: &request,
 				Kind:    result.NotSent,
 			})
 			continue
 		}
 		sending.Go(func() error {
-			defer l.open.Add(-1)
-			l.Record(l.send(ctx, &request))
+			defer s.numOpen.Add(-1)
+			s.Record(s.send(ctx, &request))
 			return nil
 		})
 	}
--- a/internal/peer/caller/models.go
+++ b/internal/peer/caller/models.go
@@ -7,13 +7,13 @@
 	"github.com/uptrace/bunrouter"
 )
 
-// models lists every model and adapter in force at this host.
+// models lists all models and adapters that the current documents of this host declare.
 func (s *Server) models(w http.ResponseWriter, _ bunrouter.Request) error {
 	list := modelList{
 		Object: "list",
 		Data:   []modelItem{},
 	}
-	table := s.Knowledge.Table()
+	table := s.ControlPlane.Table()
 	for _, name := range table.Names() {
 		target, _ := table.Target(name)
 		list.Data = append(list.Data, modelItem{
--- a/internal/peer/entryhost/claims.go
+++ b/internal/peer/entryhost/claims.go
@@ -6,8 +6,9 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// verdicts maps the wire's verdicts to ours. A verdict of a later version is
-// not in it and reads as unknown, which forbids sending.
+// verdicts maps the verdicts on the wire to those of package claims. A verdict that a
+// later version sends is missing here and decodes to claims.Unknown, which forbids
+// sending the request.
 var verdicts = map[entryhostpb.ClaimResponse_Verdict]claims.Verdict{
 	entryhostpb.ClaimResponse_UNKNOWN:          claims.Unknown,
 	entryhostpb.ClaimResponse_GRANTED:          claims.Granted,
@@ -17,11 +18,12 @@
 	entryhostpb.ClaimResponse_KEY_REUSED:       claims.KeyReused,
 }
 
-// proofs maps the wire's proofs to ours; an unknown one proves nothing.
+// proofs maps the proofs on the wire to those of package claims; an unknown one decodes
+// to claims.ProofNone.
 var proofs = map[entryhostpb.ClaimResponse_Proof]claims.Proof{
 	entryhostpb.ClaimResponse_NONE:    claims.ProofNone,
-	entryhostpb.ClaimResponse_ATTEMPT: claims.ProofAttempt,
-	entryhostpb.ClaimResponse_KEY:     claims.ProofKey,
+	entryhostpb.ClaimResponse_ATTEMPT: claims.ProofAttemptNotRun,
+	entryhostpb.ClaimResponse_KEY:     claims.ProofKeyFree,
 }
 
 func encodeClaim(claim claims.Claim) *entryhostpb.ClaimRequest {
@@ -30,8 +32,8 @@
 		Key:               string(claim.Key),
 		Attempt:           string(claim.Attempt),
 		Fingerprint:       uint64(claim.Fingerprint),
-		DeadlineUnixNano:  nanos(claim.Deadline),
-		KeepUntilUnixNano: nanos(claim.KeepUntil),
+		DeadlineUnixNano:  unixNano(claim.Deadline),
+		KeepUntilUnixNano: unixNano(claim.KeepUntil),
 		Origin:            string(claim.Origin),
 	}
 }
@@ -42,8 +44,8 @@
 		Key:         ident.IdempotencyKey(wire.GetKey()),
 		Attempt:     ident.AttemptID(wire.GetAttempt()),
 		Fingerprint: ident.Fingerprint(wire.GetFingerprint()),
-		Deadline:    instant(wire.GetDeadlineUnixNano()),
-		KeepUntil:   instant(wire.GetKeepUntilUnixNano()),
+		Deadline:    timeFromUnixNano(wire.GetDeadlineUnixNano()),
+		KeepUntil:   timeFromUnixNano(wire.GetKeepUntilUnixNano()),
 		Origin:      ident.HostID(wire.GetOrigin()),
 	}
 }
@@ -52,26 +54,27 @@
 	wire := &entryhostpb.ClaimResponse{
 		Status:          int32(answer.Status),
 		ContentType:     answer.ContentType,
-		Whole:           answer.Whole,
+		Whole:           answer.BodyKept,
 		Body:            answer.Body,
 		Digest:          answer.Digest,
-		RetryAtUnixNano: nanos(answer.RetryAt),
+		RetryAtUnixNano: unixNano(answer.RetryAt),
 		Reason:          answer.Reason,
 	}
-	for theirs, ours := range verdicts {
-		if ours == answer.Verdict {
-			wire.Verdict = theirs
+	for wireValue, value := range verdicts {
+		if value == answer.Verdict {
+			wire.Verdict = wireValue
 		}
 	}
-	for theirs, ours := range proofs {
-		if ours == answer.Proof {
-			wire.Proof = theirs
+	for wireValue, value := range proofs {
+		if value == answer.Proof {
+			wire.Proof = wireValue
 		}
 	}
 	return wire
 }
 
-// decodeAnswer takes the claim as well: the answer belongs to it.
+// decodeAnswer takes the claim as well, since the response does not repeat what it
+// answers.
 func decodeAnswer(claim claims.Claim, wire *entryhostpb.ClaimResponse) claims.Answer {
 	return claims.Answer{
 		Team:        claim.Team,
@@ -82,10 +85,10 @@
 		Proof:       proofs[wire.GetProof()],
 		Status:      int(wire.GetStatus()),
 		ContentType: wire.GetContentType(),
-		Whole:       wire.GetWhole(),
+		BodyKept:    wire.GetWhole(),
 		Body:        wire.GetBody(),
 		Digest:      wire.GetDigest(),
-		RetryAt:     instant(wire.GetRetryAtUnixNano()),
+		RetryAt:     timeFromUnixNano(wire.GetRetryAtUnixNano()),
 		Reason:      wire.GetReason(),
 	}
 }
@@ -98,7 +101,7 @@
 		Status:      int32(finish.Status),
 		Body:        finish.Body,
 		ContentType: finish.ContentType,
-		Cut:         finish.Cut,
+		Cut:         finish.BodyOmitted,
 		Digest:      finish.Digest,
 		Origin:      string(finish.Origin),
 	}
@@ -112,7 +115,7 @@
 		Status:      int(wire.GetStatus()),
 		Body:        wire.GetBody(),
 		ContentType: wire.GetContentType(),
-		Cut:         wire.GetCut(),
+		BodyOmitted: wire.GetCut(),
 		Digest:      wire.GetDigest(),
 		Origin:      ident.HostID(wire.GetOrigin()),
 	}
--- a/internal/peer/entryhost/client.go
+++ b/internal/peer/entryhost/client.go
@@ -11,14 +11,14 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// Pool calls peers, over one connection to each. The zero value works; it is safe
-// for many goroutines.
+// Pool calls the entry host service of peers, with one connection to each peer. The
+// zero value is ready to use; it is safe for concurrent use.
 type Pool struct {
 	grpcpeer.Pool
 }
 
-// Peer gives a client of the entry host at an address ("ip:port").
-func (p *Pool) Peer(address string) (entryhostpb.EntryHostClient, error) {
+// Client returns a client of the entry host at an address ("ip:port").
+func (p *Pool) Client(address string) (entryhostpb.EntryHostClient, error) {
 	connection, err := p.Connection(address)
 	if err != nil {
 		return nil, err
@@ -26,76 +26,77 @@
 	return entryhostpb.NewEntryHostClient(connection), nil
 }
 
-// Exchange tells a peer what this host knows and gives what the peer knows.
-func (p *Pool) Exchange(ctx context.Context, address string, knowledge Knowledge) (Knowledge, error) {
-	peer, err := p.Peer(address)
+// Exchange sends this host's message to a peer and returns the peer's.
+func (p *Pool) Exchange(ctx context.Context, address string, message Message) (Message, error) {
+	client, err := p.Client(address)
 	if err != nil {
-		return Knowledge{}, err
+		return Message{}, err
 	}
-	answer, err := peer.Exchange(ctx, encodeKnowledge(knowledge))
+	answer, err := client.Exchange(ctx, encodeMessage(message))
 	if err != nil {
-		return Knowledge{}, errors.Wrapf(err, "exchange with %s", address)
+		return Message{}, errors.Wrapf(err, "exchange with %s", address)
 	}
-	return decodeKnowledge(answer), nil
+	return decodeMessage(answer), nil
 }
 
-// Burn asks a peer for its own counts.
-func (p *Pool) Burn(ctx context.Context, address string) (Counts, error) {
-	peer, err := p.Peer(address)
+// FetchBurnCounts fetches a peer's own request counts.
+func (p *Pool) FetchBurnCounts(ctx context.Context, address string) (BurnCounts, error) {
+	client, err := p.Client(address)
 	if err != nil {
-		return Counts{}, err
+		return BurnCounts{}, err
 	}
-	answer, err := peer.Burn(ctx, &entryhostpb.BurnRequest{})
+	answer, err := client.Burn(ctx, &entryhostpb.BurnRequest{})
 	if err != nil {
-		return Counts{}, errors.Wrapf(err, "counts of %s", address)
+		return BurnCounts{}, errors.Wrapf(err, "counts of %s", address)
 	}
 	return decodeCounts(answer), nil
 }
 
-// Demand tells the leader of the placement what callers ask for.
-func (p *Pool) Demand(ctx context.Context, address string, told demand.Told) error {
-	peer, err := p.Peer(address)
+// SendDemand sends the request rates of this host to the leader of the placement.
+func (p *Pool) SendDemand(ctx context.Context, address string, rates demand.HostRates) error {
+	client, err := p.Client(address)
 	if err != nil {
 		return err
 	}
-	_, err = peer.Demand(ctx, encodeDemand(told))
+	_, err = client.Demand(ctx, encodeDemand(rates))
 	return errors.Wrapf(err, "demand to %s", address)
 }
 
-// Claim asks the home of a claim's partition to carry it out.
+// Claim sends a claim to the owner of its partition and returns the owner's answer.
 func (p *Pool) Claim(ctx context.Context, address string, claim claims.Claim) (claims.Answer, error) {
-	peer, err := p.Peer(address)
+	client, err := p.Client(address)
 	if err != nil {
 		return claims.Answer{}, err
 	}
-	answer, err := peer.Claim(ctx, encodeClaim(claim))
+	answer, err := client.Claim(ctx, encodeClaim(claim))
 	if err != nil {
 		return claims.Answer{}, errors.Wrapf(err, "claim at %s", address)
 	}
 	return decodeAnswer(claim, answer), nil
 }
 
-// Finish tells the home of a claim's partition that its request was run.
+// Finish reports to the owner of the partition that the claimed request was run. The
+// result says whether the owner recorded it.
 func (p *Pool) Finish(ctx context.Context, address string, finish claims.Finish) (bool, error) {
-	peer, err := p.Peer(address)
+	client, err := p.Client(address)
 	if err != nil {
 		return false, err
 	}
-	answer, err := peer.Finish(ctx, encodeFinish(finish))
+	answer, err := client.Finish(ctx, encodeFinish(finish))
 	if err != nil {
 		return false, errors.Wrapf(err, "finish at %s", address)
 	}
 	return answer.GetRecorded(), nil
 }
 
-// Release tells the home of a claim's partition that its request provably was
-// not run.
+// Release reports to the owner of the partition that the claimed request was provably
+// not run. The result says whether the owner recorded it.
 func (p *Pool) Release(ctx context.Context, address string, release claims.Release) (bool, error) {
-	peer, err := p.Peer(address)
+	client, err := p.Client(address)
 	if err != nil {
 		return false, err
 	}
-	answer, err := peer.Release(ctx, encodeRelease(release))
+	answer, err := client.Release(ctx, encodeRelease(release))
 	if err != nil {
 		return false, errors.Wrapf(err, "release at %s", address)
 	}
--- a/internal/peer/entryhost/codec.go
+++ b/internal/peer/entryhost/codec.go
@@ -13,55 +13,56 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// nanos gives an instant's wire form; the zero instant is 0.
-func nanos(t time.Time) int64 {
+// unixNano returns Unix nanoseconds; the zero time is 0.
+func unixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixNano()
 }
 
-func instant(nanos int64) time.Time {
+// timeFromUnixNano is the inverse of unixNano.
+func timeFromUnixNano(nanos int64) time.Time {
 	if nanos == 0 {
 		return time.Time{}
 	}
 	return time.Unix(0, nanos)
 }
 
-func encodeKnowledge(k Knowledge) *entryhostpb.Knowledge {
+func encodeMessage(message Message) *entryhostpb.Knowledge {
 	wire := &entryhostpb.Knowledge{
-		Since:    int64(k.Documents.Since),
-		Complete: int64(k.Documents.Complete),
-		Told:     encodeMarks(k.Told),
-		From:     encodeMarks(k.From),
-		Have:     encodeMarks(k.Have),
+		Since:    int64(message.Documents.Since),
+		Complete: int64(message.Documents.CompleteRevision),
+		Told:     encodeCursors(message.SentThrough),
+		From:     encodeCursors(message.SentAfter),
+		Have:     encodeCursors(message.ReceivedThrough),
 
-		WantsReports: k.WantsReports,
-		AllReports:   k.AllReports,
-		More:         k.More,
+		WantsReports: message.WantsReports,
+		AllReports:   message.WantsAllRegions,
+		More:         message.HasMore,
 	}
-	encodeBeats(wire, &k)
-	encodeReports(wire, &k.Reports)
-	for i := range k.Peers {
-		wire.Peers = append(wire.Peers, encodePeer(&k.Peers[i]))
+	encodeHeartbeats(wire, &message)
+	encodeReports(wire, &message.Reports)
+	for i := range message.Peers {
+		wire.Peers = append(wire.Peers, encodePeer(&message.Peers[i]))
 	}
-	for _, document := range k.Documents.Documents {
+	for _, document := range message.Documents.Documents {
 		wire.Documents = append(wire.Documents, &entryhostpb.Document{
 			Team:     string(document.Team),
 			Revision: int64(document.Revision),
 			Value:    document.Value,
 		})
 	}
-	for server, load := range k.Loads {
+	for server, load := range message.ServerLoads {
 		wire.Loads = append(wire.Loads, &entryhostpb.Load{
 			Server:  string(server),
 			Running: int32(load),
 		})
 	}
-	for i := range k.Suspects {
-		wire.Suspects = append(wire.Suspects, encodeSuspect(&k.Suspects[i]))
+	for i := range message.Suspects {
+		wire.Suspects = append(wire.Suspects, encodeSuspect(&message.Suspects[i]))
 	}
-	for _, leaving := range k.Leaving {
+	for _, leaving := range message.LeavingServers {
 		wire.Leaving = append(wire.Leaving, &entryhostpb.Leaving{
 			Server:      string(leaving.Server),
 			Incarnation: string(leaving.Incarnation),
@@ -70,86 +71,86 @@
 	return wire
 }
 
-func decodeKnowledge(wire *entryhostpb.Knowledge) Knowledge {
-	k := Knowledge{
-		Documents: documents.Word{
-			Since:    ident.Revision(wire.GetSince()),
-			Complete: ident.Revision(wire.GetComplete()),
+func decodeMessage(wire *entryhostpb.Knowledge) Message {
+	message := Message{
+		Documents: documents.Message{
+			Since:            ident.Revision(wire.GetSince()),
+			CompleteRevision: ident.Revision(wire.GetComplete()),
 		},
-		Loads: make(map[ident.ServerName]int64, len(wire.GetLoads())),
-		Told:  decodeMarks(wire.GetTold()),
-		From:  decodeMarks(wire.GetFrom()),
-		Have:  decodeMarks(wire.GetHave()),
+		ServerLoads:     make(map[ident.ServerName]int64, len(wire.GetLoads())),
+		SentThrough:     decodeCursors(wire.GetTold()),
+		SentAfter:       decodeCursors(wire.GetFrom()),
+		ReceivedThrough: decodeCursors(wire.GetHave()),
 
-		WantsReports: wire.GetWantsReports(),
-		AllReports:   wire.GetAllReports(),
-		More:         wire.GetMore(),
-		Reports:      decodeReports(wire),
+		WantsReports:    wire.GetWantsReports(),
+		WantsAllRegions: wire.GetAllReports(),
+		HasMore:         wire.GetMore(),
+		Reports:         decodeReports(wire),
 	}
 	for _, peer := range wire.GetPeers() {
-		k.Peers = append(k.Peers, decodePeer(peer))
+		message.Peers = append(message.Peers, decodePeer(peer))
 	}
-	k.Beats = decodeBeats(wire, k.Sender())
+	message.Heartbeats = decodeHeartbeats(wire, message.Sender())
 	for _, document := range wire.GetDocuments() {
-		k.Documents.Documents = append(k.Documents.Documents, documents.PeerDocument{
+		message.Documents.Documents = append(message.Documents.Documents, documents.PeerDocument{
 			Team:     ident.TeamName(document.GetTeam()),
 			Revision: ident.Revision(document.GetRevision()),
 			Value:    document.GetValue(),
 		})
 	}
 	for _, load := range wire.GetLoads() {
-		k.Loads[ident.ServerName(load.GetServer())] = int64(load.GetRunning())
+		message.ServerLoads[ident.ServerName(load.GetServer())] = int64(load.GetRunning())
 	}
 	for _, suspect := range wire.GetSuspects() {
-		k.Suspects = append(k.Suspects, decodeSuspect(suspect))
+		message.Suspects = append(message.Suspects, decodeSuspect(suspect))
 	}
 	for _, leaving := range wire.GetLeaving() {
-		k.Leaving = append(k.Leaving, routing.ServerLeaving{
+		message.LeavingServers = append(message.LeavingServers, routing.ServerLeaving{
 			Server:      ident.ServerName(leaving.GetServer()),
 			Incarnation: ident.Incarnation(leaving.GetIncarnation()),
 		})
 	}
-	return k
+	return message
 }
 
-func encodeMarks(marks Marks) *entryhostpb.Marks {
+func encodeCursors(cursors Cursors) *entryhostpb.Marks {
 	return &entryhostpb.Marks{
-		Epoch:   marks.Epoch,
-		Peers:   marks.Peers,
-		Reports: marks.Reports,
+		Epoch:   cursors.Epoch,
+		Peers:   cursors.Peers,
+		Reports: cursors.Reports,
 	}
 }
 
-func decodeMarks(wire *entryhostpb.Marks) Marks {
-	return Marks{
+func decodeCursors(wire *entryhostpb.Marks) Cursors {
+	return Cursors{
 		Epoch:   wire.GetEpoch(),
 		Peers:   wire.GetPeers(),
 		Reports: wire.GetReports(),
 	}
 }
 
-// encodeBeats tells beats by their distance from the sender's: most are a few
-// seconds behind, and go in two or three bytes.
-func encodeBeats(wire *entryhostpb.Knowledge, k *Knowledge) {
-	sender := k.Sender()
-	for _, beat := range k.Beats {
-		wire.BeatHosts = append(wire.BeatHosts, beat.Host)
-		wire.BeatBehind = append(wire.BeatBehind, int64(sender.Beat-beat.Beat))
-		wire.BeatDocumentsBehind = append(wire.BeatDocumentsBehind, int64(sender.Documents-beat.Documents))
+// encodeHeartbeats encodes heartbeats as distances from the sender's own: most are a
+// few seconds behind, and take two or three bytes as varints.
+func encodeHeartbeats(wire *entryhostpb.Knowledge, message *Message) {
+	sender := message.Sender()
+	for _, heartbeat := range message.Heartbeats {
+		wire.BeatHosts = append(wire.BeatHosts, heartbeat.Host)
+		wire.BeatBehind = append(wire.BeatBehind, int64(sender.Heartbeat-heartbeat.Heartbeat))
+		wire.BeatDocumentsBehind = append(wire.BeatDocumentsBehind, int64(sender.DocumentsRevision-heartbeat.DocumentsRevision))
 	}
 }
 
-func decodeBeats(wire *entryhostpb.Knowledge, sender membership.Peer) []membership.Beat {
+func decodeHeartbeats(wire *entryhostpb.Knowledge, sender membership.Peer) []membership.Heartbeat {
 	count := min(len(wire.GetBeatHosts()), len(wire.GetBeatBehind()), len(wire.GetBeatDocumentsBehind()))
-	var beats []membership.Beat
+	var heartbeats []membership.Heartbeat
 	for i := range count {
-		beats = append(beats, membership.Beat{
-			Host:      wire.GetBeatHosts()[i],
-			Beat:      sender.Beat - uint64(wire.GetBeatBehind()[i]),
-			Documents: sender.Documents - ident.Revision(wire.GetBeatDocumentsBehind()[i]),
+		heartbeats = append(heartbeats, membership.Heartbeat{
+			Host:              wire.GetBeatHosts()[i],
+			Heartbeat:         sender.Heartbeat - uint64(wire.GetBeatBehind()[i]),
+			DocumentsRevision: sender.DocumentsRevision - ident.Revision(wire.GetBeatDocumentsBehind()[i]),
 		})
 	}
-	return beats
+	return heartbeats
 }
 
 func encodePeer(peer *membership.Peer) *entryhostpb.Peer {
@@ -158,35 +159,35 @@
 		DataCentre:        string(peer.DataCentre),
 		Region:            string(peer.Region),
 		PeerAddress:       peer.Address,
-		Beat:              peer.Beat,
+		Beat:              peer.Heartbeat,
 		Stopping:          peer.Stopping,
-		DocumentsRevision: int64(peer.Documents),
-		Leads:             int64(peer.Leads),
+		DocumentsRevision: int64(peer.DocumentsRevision),
+		Leads:             int64(peer.LeaderFencing),
 	}
 }
 
 func decodePeer(wire *entryhostpb.Peer) membership.Peer {
 	return membership.Peer{
-		Host:       ident.HostID(wire.GetHost()),
-		DataCentre: ident.DataCentre(wire.GetDataCentre()),
-		Region:     ident.Region(wire.GetRegion()),
-		Address:    wire.GetPeerAddress(),
-		Beat:       wire.GetBeat(),
-		Stopping:   wire.GetStopping(),
-		Documents:  ident.Revision(wire.GetDocumentsRevision()),
-		Leads:      ident.FencingNumber(wire.GetLeads()),
+		Host:              ident.HostID(wire.GetHost()),
+		DataCentre:        ident.DataCentre(wire.GetDataCentre()),
+		Region:            ident.Region(wire.GetRegion()),
+		Address:           wire.GetPeerAddress(),
+		Heartbeat:         wire.GetBeat(),
+		Stopping:          wire.GetStopping(),
+		DocumentsRevision: ident.Revision(wire.GetDocumentsRevision()),
+		LeaderFencing:     ident.FencingNumber(wire.GetLeads()),
 	}
 }
 
 func encodeSuspect(suspect *suspects.Suspect) *entryhostpb.Suspect {
 	wire := &entryhostpb.Suspect{
 		Fingerprint:       uint64(suspect.Fingerprint),
-		KeepUntilUnixNano: nanos(suspect.KeepUntil),
+		KeepUntilUnixNano: unixNano(suspect.KeepUntil),
 	}
-	for _, life := range suspect.Deaths {
+	for _, crash := range suspect.Crashes {
 		wire.Deaths = append(wire.Deaths, &entryhostpb.Life{
-			Server:      string(life.Server),
-			Incarnation: string(life.Incarnation),
+			Server:      string(crash.Server),
+			Incarnation: string(crash.Incarnation),
 		})
 	}
 	return wire
@@ -195,44 +196,44 @@
 func decodeSuspect(wire *entryhostpb.Suspect) suspects.Suspect {
 	suspect := suspects.Suspect{
 		Fingerprint: ident.Fingerprint(wire.GetFingerprint()),
-		KeepUntil:   instant(wire.GetKeepUntilUnixNano()),
+		KeepUntil:   timeFromUnixNano(wire.GetKeepUntilUnixNano()),
 	}
-	for _, life := range wire.GetDeaths() {
-		suspect.Deaths = append(suspect.Deaths, suspects.Life{
-			Server:      ident.ServerName(life.GetServer()),
-			Incarnation: ident.Incarnation(life.GetIncarnation()),
+	for _, crash := range wire.GetDeaths() {
+		suspect.Crashes = append(suspect.Crashes, suspects.ServerIncarnation{
+			Server:      ident.ServerName(crash.GetServer()),
+			Incarnation: ident.Incarnation(crash.GetIncarnation()),
 		})
 	}
 	return suspect
 }
 
-func encodeDemand(told demand.Told) *entryhostpb.DemandRequest {
+func encodeDemand(rates demand.HostRates) *entryhostpb.DemandRequest {
 	wire := &entryhostpb.DemandRequest{
-		Host:       string(told.Host),
-		DataCentre: string(told.DataCentre),
+		Host:       string(rates.Host),
+		DataCentre: string(rates.DataCentre),
 	}
-	for _, rate := range told.Rates {
+	for _, rate := range rates.Rates {
 		wire.Models = append(wire.Models, string(rate.Model))
 		wire.PerSecond = append(wire.PerSecond, float32(rate.PerSecond))
 	}
 	return wire
 }
 
-func decodeDemand(wire *entryhostpb.DemandRequest) demand.Told {
-	told := demand.Told{
+func decodeDemand(wire *entryhostpb.DemandRequest) demand.HostRates {
+	rates := demand.HostRates{
 		Host:       ident.HostID(wire.GetHost()),
 		DataCentre: ident.DataCentre(wire.GetDataCentre()),
 	}
 	for i := range min(len(wire.GetModels()), len(wire.GetPerSecond())) {
-		told.Rates = append(told.Rates, demand.Rate{
+		rates.Rates = append(rates.Rates, demand.Rate{
 			Model:     ident.ModelName(wire.GetModels()[i]),
 			PerSecond: float64(wire.GetPerSecond()[i]),
 		})
 	}
-	return told
+	return rates
 }
 
-func encodeCounts(counts Counts) *entryhostpb.BurnResponse {
+func encodeCounts(counts BurnCounts) *entryhostpb.BurnResponse {
 	wire := &entryhostpb.BurnResponse{
 		Host: string(counts.Host),
 	}
@@ -252,8 +253,8 @@
 	return wire
 }
 
-func decodeCounts(wire *entryhostpb.BurnResponse) Counts {
-	counts := Counts{
+func decodeCounts(wire *entryhostpb.BurnResponse) BurnCounts {
+	counts := BurnCounts{
 		Host: ident.HostID(wire.GetHost()),
 	}
 	for _, row := range wire.GetRows() {
--- a/internal/peer/entryhost/decisions.go
+++ b/internal/peer/entryhost/decisions.go
@@ -10,14 +10,14 @@
 	"cicadaloom/internal/wire/entryhostpb"
 )
 
-// Decisions asks a peer for what it decided itself. Who may see what is the
-// asker's to check: the query says it.
-func (p *Pool) Decisions(ctx context.Context, address string, query decisions.Query) ([]decisions.Decision, error) {
-	peer, err := p.Peer(address)
+// FetchDecisions fetches what a peer itself decided. The peer does not check who asks:
+// the caller must have checked it and limited the query to what that person may see.
+func (p *Pool) FetchDecisions(ctx context.Context, address string, query decisions.Query) ([]decisions.Decision, error) {
+	client, err := p.Client(address)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := peer.Decisions(ctx, encodeQuery(query))
+	answer, err := client.Decisions(ctx, encodeQuery(query))
 	if err != nil {
 		return nil, errors.Wrapf(err, "decisions of %s", address)
 	}
@@ -56,7 +56,7 @@
 		d := &found[i]
 		wire.Decisions = append(wire.Decisions, &entryhostpb.Decision{
 			Kind:            string(d.Kind),
-			AtUnixNano:      nanos(d.At),
+			AtUnixNano:      unixNano(d.At),
 			Host:            string(d.Host),
 			Team:            string(d.Team),
 			Request:         string(d.Request),
@@ -68,9 +68,9 @@
 			Code:            d.Code,
 			Run:             d.Run,
 			Message:         d.Message,
-			RetryAtUnixNano: nanos(d.RetryAt),
-			Have:            int32(d.Have),
-			Want:            int32(d.Want),
+			RetryAtUnixNano: unixNano(d.RetryAt),
+			Have:            int32(d.ReadyReplicas),
+			Want:            int32(d.WantedReplicas),
 		})
 	}
 	return wire
@@ -80,22 +80,22 @@
 	var found []decisions.Decision
 	for _, d := range wire.GetDecisions() {
 		found = append(found, decisions.Decision{
-			Kind:    decisions.Kind(d.GetKind()),
-			At:      instant(d.GetAtUnixNano()),
-			Host:    ident.HostID(d.GetHost()),
-			Team:    ident.TeamName(d.GetTeam()),
-			Request: ident.RequestID(d.GetRequest()),
-			Attempt: ident.AttemptID(d.GetAttempt()),
-			Order:   ident.OrderID(d.GetOrder()),
-			Target:  d.GetTarget(),
-			Class:   ident.ClassName(d.GetClass()),
-			Server:  ident.ServerName(d.GetServer()),
-			Code:    d.GetCode(),
-			Run:     d.GetRun(),
-			Message: d.GetMessage(),
-			RetryAt: instant(d.GetRetryAtUnixNano()),
-			Have:    int(d.GetHave()),
-			Want:    int(d.GetWant()),
+			Kind:           decisions.Kind(d.GetKind()),
+			At:             timeFromUnixNano(d.GetAtUnixNano()),
+			Host:           ident.HostID(d.GetHost()),
+			Team:           ident.TeamName(d.GetTeam()),
+			Request:        ident.RequestID(d.GetRequest()),
+			Attempt:        ident.AttemptID(d.GetAttempt()),
+			Order:          ident.OrderID(d.GetOrder()),
+			Target:         d.GetTarget(),
+			Class:          ident.ClassName(d.GetClass()),
+			Server:         ident.ServerName(d.GetServer()),
+			Code:           d.GetCode(),
+			Run:            d.GetRun(),
+			Message:        d.GetMessage(),
+			RetryAt:        timeFromUnixNano(d.GetRetryAtUnixNano()),
+			ReadyReplicas:  int(d.GetHave()),
+			WantedReplicas: int(d.GetWant()),
 		})
 	}
 	return found
--- a/internal/peer/operator/documents.go
+++ b/internal/peer/operator/documents.go
@@ -18,18 +18,18 @@
 
 // Headers of edits.
 const (
-	// HeaderEdit names an edit. An edit whose answer was lost or Unknown is
-	// submitted again under the same id: it is carried out once.
-	HeaderEdit    = "Cicadaloom-Edit"
+	// HeaderEditID is the id of an edit. An edit whose answer was lost or Unknown is
+	// submitted again with the same id, and takes effect once.
+	HeaderEditID  = "Cicadaloom-Edit"
 	headerIfMatch = "If-Match"
 	headerETag    = "Etag"
-	// HeaderAgain marks an edit that is submitted again.
-	HeaderAgain = "Cicadaloom-Again"
+	// HeaderResubmitted marks an edit that is submitted again.
+	HeaderResubmitted = "Cicadaloom-Again"
 )
 
 func (s *Server) listDocuments(w http.ResponseWriter, _ bunrouter.Request) error {
-	list := wireList{
-		Documents: []wireListed{},
+	list := wireDocuments{
+		Documents: []wireDocument{},
 	}
 	if snapshot := s.Control.Documents(); snapshot != nil {
 		list.Revision = int64(snapshot.Revision)
@@ -37,7 +37,7 @@
 			if version.Deleted {
 				continue
 			}
-			list.Documents = append(list.Documents, wireListed{
+			list.Documents = append(list.Documents, wireDocument{
 				Team:     string(team),
 				Revision: int64(version.Revision),
 			})
@@ -53,7 +53,7 @@
 	if snapshot != nil {
 		version, found := snapshot.Versions[team]
 		if found {
-			// A deleted document has a revision too: its team's next edit starts there.
+			// A deleted document has a revision too, on which the team's next edit is based.
 			setETag(w, version.Revision)
 		}
 		if found && !version.Deleted {
@@ -74,7 +74,7 @@
 }
 
 func (s *Server) putDocument(w http.ResponseWriter, request bunrouter.Request) error {
-	text, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxDocument))
+	text, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxDocumentBytes))
 	if err != nil {
 		return badInput(w, "the document could not be read: "+err.Error())
 	}
@@ -105,8 +105,8 @@
 	edit.Base = ident.Revision(base)
 	edit.Team = ident.TeamName(request.Param("team"))
 	edit.Deadline = s.Now().Add(callTimeout)
-	edit.Again = request.Header.Get(HeaderAgain) != ""
-	edit.Edit = ident.EditID(request.Header.Get(HeaderEdit))
+	edit.IsResubmitted = request.Header.Get(HeaderResubmitted) != ""
+	edit.Edit = ident.EditID(request.Header.Get(HeaderEditID))
 	if edit.Edit == "" {
 		edit.Edit = ident.NewEditID()
 	}
@@ -117,11 +117,11 @@
 		}
 	}
 	s.Log.Info("edit", zap.String("Team", string(edit.Team)), zap.String("EditID", string(edit.Edit)), zap.Any("Result", result))
-	return s.answer(w, edit, result)
+	return s.writeEditResult(w, edit, result)
 }
 
-func (s *Server) answer(w http.ResponseWriter, edit documents.EditSubmitted, result documents.EditResult) error {
-	w.Header().Set(HeaderEdit, string(edit.Edit))
+func (s *Server) writeEditResult(w http.ResponseWriter, edit documents.EditSubmitted, result documents.EditResult) error {
+	w.Header().Set(HeaderEditID, string(edit.Edit))
 	switch result := result.(type) {
 	case documents.Accepted:
 		setETag(w, result.Revision)
@@ -155,7 +155,7 @@
 	case documents.Unknown:
 		return writeProblem(w, http.StatusGatewayTimeout, problem{
 			Code:    codeUnknown,
-			Message: "the edit may have been accepted or may be yet; submit it again under the same id with " + HeaderAgain,
+			Message: "the edit may have been accepted or may be yet; submit it again under the same id with " + HeaderResubmitted,
 			Edit:    string(edit.Edit),
 			RetryAt: &result.RetryAt,
 		})
@@ -191,7 +191,7 @@
 		wire = append(wire, wireVersion{
 			Revision: int64(version.Revision),
 			Edit:     string(version.Edit),
-			At:       version.At,
+			At:       version.SwapSentAt,
 			Deleted:  version.Deleted,
 			Document: version.Text,
 		})
--- a/internal/peer/operator/status.go
+++ b/internal/peer/operator/status.go
@@ -24,7 +24,7 @@
 }
 
 func encodeStatus(status *loop.Status) wireStatus {
-	inForce, live := status.InForce(status.Documents)
+	inForce, live := status.CountInForce(status.Documents)
 	wire := wireStatus{
 		Host:      string(status.Host),
 		Revision:  int64(status.Documents),
@@ -46,7 +46,7 @@
 			Address:    host.Address,
 			Live:       host.Live,
 			Stopping:   host.Stopping,
-			Revision:   int64(host.Documents),
+			Revision:   int64(host.DocumentsRevision),
 		})
 	}
 	for _, server := range status.Servers {
@@ -55,7 +55,7 @@
 			Kind:     server.Kind,
 			State:    server.State,
 			Address:  server.Address,
-			UnderWay: server.UnderWay,
+			UnderWay: server.InFlight,
 		})
 	}
 	wire.encodePlan(&status.Plan)
@@ -89,9 +89,9 @@
 	for _, blocked := range plan.Blocked {
 		w.Blocked = append(w.Blocked, wireBlocked{
 			Model:  string(blocked.Weights.Model),
-			Reason: string(blocked.Why),
-			Have:   blocked.Have,
-			Want:   blocked.Want,
+			Reason: string(blocked.Blocker),
+			Have:   blocked.PresentReplicas,
+			Want:   blocked.WantedReplicas,
 		})
 	}
 	for _, recent := range plan.Recent {
@@ -108,7 +108,7 @@
 	}
 }
 
-// burn gives the report as JSON, or with ?format=text or html as such.
+// burn returns the report as JSON, or with ?format=text or html as text or HTML.
 func (s *Server) burn(w http.ResponseWriter, request bunrouter.Request) error {
 	report, err := s.Control.Burn(request.Context())
 	if err != nil {
@@ -119,7 +119,7 @@
 		return writeJSON(w, http.StatusOK, encodeBurn(&report))
 	case "text":
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, err := w.Write([]byte(burn.Text(report.Lines, report.Missing)))
+		_, err := w.Write([]byte(burn.FormatText(report.Lines, report.Missing)))
 		return err
 	case "html":
 		page, err := burnpage.Render(burnpage.Content{
@@ -143,8 +143,8 @@
 	wire := wireBurn{
 		At:        report.At.UTC(),
 		Objective: burn.Objective,
-		Hosts:     namesOf(report.Hosts),
-		Missing:   namesOf(report.Missing),
+		Hosts:     hostNames(report.Hosts),
+		Missing:   hostNames(report.Missing),
 		Lines:     make([]wireBurnLine, 0, len(report.Lines)),
 	}
 	for i := range report.Lines {
@@ -154,15 +154,15 @@
 			Team:       string(line.Team),
 			Class:      string(line.Class),
 			Model:      string(line.Model),
-			Requests:   line.Counts.All(),
+			Requests:   line.Counts.Total(),
 			InTime:     line.Counts[burn.InTime],
 			Late:       line.Counts[burn.Late],
 			Refused:    line.Counts[burn.Refused],
 			Failed:     line.Counts[burn.Failed],
-			Share:      line.Share(),
-			BurnRate:   line.Rate(),
+			Share:      line.InTimeShare(),
+			BurnRate:   line.BurnRate(),
 			BudgetLeft: line.BudgetLeft(),
-			UsedUpBy:   line.Cause(),
+			UsedUpBy:   line.MainCause(),
 		})
 	}
 	return wire
--- a/internal/standin/engine/openai_test.go
+++ b/internal/standin/engine/openai_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The form is the API's if its own client reads it, streamed and whole.
-func TestTheAPIsOwnClientReadsTheAnswers(t *testing.T) {
-	b := newBench(t, quick()).ready()
+// The API's own client must accept the answers, streamed and whole.
+func TestOpenAIClientReadsAnswers(t *testing.T) {
+	b := startEngine(t, shortTimes()).loadBriefing()
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	client := openai.NewClient(
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain stands in for a plain service, such as a dispatch desk or a
-// booking system: it echoes each request and counts what it ran.
+// Package plain is a stand-in for a plain service, such as a dispatch desk or a
+// booking system: it echoes each request and counts how often it ran each one.
 //
 // # Usage
 //
@@ -8,9 +8,12 @@
 //	defer service.Stop()
 //
 // Any method and path is answered with status 200 and an Echo as JSON, after
-// Work. At most Slots requests run at once; QueueLimit wait for them, in order
-// of arrival. `GET /stats` gives Stats, `GET /control/report` the load. The
-// fault switches at /faults are Faults.
+// WorkTime. At most Slots requests run at once; QueueLimit others wait, in order of arrival.
+// `GET /stats` returns Stats, `GET /control/report` the server load. Faults are
+// set at /faults.
+//
+// Each request runs in the goroutine of its HTTP handler; a mutex guards the
+// counters.
 package plain
 
 import (
@@ -30,45 +33,46 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// PathStats is where the service gives its counters.
+// PathStats is the path of Stats.
 const PathStats = "/stats"
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultSlots      = 16
 	DefaultQueueLimit = 64
-	DefaultWork       = 5 * time.Millisecond
+	DefaultWorkTime   = 5 * time.Millisecond
 )
 
 const (
-	// runsKept bounds the ids and bodies whose runs are counted; the first are
-	// kept, so that a count never begins anew.
-	runsKept          = 1 << 17
+	// maxCountedRuns bounds the request ids and the bodies whose runs are counted.
+	// The first ones are kept, so that no count restarts.
+	maxCountedRuns    = 1 << 17
 	retryAfterSeconds = 1
 )
 
-// Options are the service's settings; zero values take the defaults.
+// Options configures a Service. Zero values take the defaults.
 type Options struct {
 	Slots      int
 	QueueLimit int
-	// Work is how long a request runs.
-	Work time.Duration
+	// WorkTime is the time that a request runs.
+	WorkTime time.Duration
 }
 
-// Faults are the switches at /faults.
+// Faults are the failures that the service simulates, set at /faults.
 type Faults struct {
-	// Down cuts each connection before anything is run.
+	// Down closes each connection before the request is run.
 	Down bool
-	// FreezeRequests holds requests until it is off, and runs them then, also
-	// those whose caller has given up: so a paused process does.
+	// FreezeRequests holds requests until it is cleared, then runs them, including
+	// those whose client has disconnected, as a paused process does.
 	FreezeRequests bool
-	// CutAfterRun is how many next requests are run and then cut without an answer.
+	// CutAfterRun is the number of next requests that are run but whose connection
+	// is closed without an answer.
 	CutAfterRun int
-	// Refuse refuses with the proof that the request was not run.
+	// Refuse refuses requests, with the header that proves that they were not run.
 	Refuse bool
-	// LeaveNow refuses too, and reports Leaving.
+	// LeaveNow refuses requests as Refuse does, and reports Leaving.
 	LeaveNow bool
-	// WorkFor replaces Work, if it is not 0.
+	// WorkFor replaces the option WorkTime, if it is not 0.
 	WorkFor fault.Duration
 }
 
@@ -77,7 +81,8 @@
 	Method string
 	Path   string
 	Body   string
-	// Run counts how often this request id was run, this time included.
+	// Run is how often this request id was run, including this time; 0 if runs are
+	// not counted any more.
 	Run int
 }
 
@@ -85,14 +90,14 @@
 type Stats struct {
 	Incarnation ident.Incarnation
 	// Runs counts runs by request id, RunsOfBody by the hash of the body in hex,
-	// which finds a request again that came under a new id.
+	// which identifies a request that was sent again under a new id.
 	Runs        map[ident.RequestID]int
 	RunsOfBody  map[string]int
 	RunsNotKept int
 	Refused     int
 }
 
-// Service is the stand-in.
+// Service is the simulated service. Create it with New.
 type Service struct {
 	Faults      fault.Switch[Faults]
 	options     Options
@@ -106,7 +111,7 @@
 	leaving bool
 }
 
-// New makes a service.
+// New returns a service that is not started yet.
 func New(options Options) *Service {
 	if options.Slots <= 0 {
 		options.Slots = DefaultSlots
@@ -114,8 +119,8 @@
 	if options.QueueLimit <= 0 {
 		options.QueueLimit = DefaultQueueLimit
 	}
-	if options.Work <= 0 {
-		options.Work = DefaultWork
+	if options.WorkTime <= 0 {
+		options.WorkTime = DefaultWorkTime
 	}
 	return &Service{
 		options:     options,
@@ -128,24 +133,24 @@
 	}
 }
 
-// Start serves the service and returns the address.
+// Start starts the HTTP server and returns its address.
 func (s *Service) Start(listen string) (string, error) {
 	router := bunrouter.New(bunrouter.WithNotFoundHandler(server.Route(s.serve)))
 	router.GET(engineapi.PathReport, server.Route(s.serveReport))
 	router.GET(PathStats, server.Route(s.serveStats))
 	router.GET(fault.Path, server.Route(s.Faults.ServeHTTP))
 	router.POST(fault.Path, server.Route(s.Faults.ServeHTTP))
-	return s.server.Start(listen, s.server.Guard(s.gate(), router))
+	return s.server.Start(listen, s.server.ApplyFaults(s.requestFaults(), router))
 }
 
-// Leave refuses new work from now on and reports Leaving.
+// Leave makes the service refuse new requests and report Leaving.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// Stop leaves, lets the requests in flight end, and ends the service.
+// Stop calls Leave, waits for the requests in flight, and stops the service.
 func (s *Service) Stop() error {
 	s.Leave()
 	return s.server.Stop()
@@ -162,18 +167,18 @@
 	return stats
 }
 
-// BodyHash is the key of a body in Stats.RunsOfBody.
+// BodyHash returns the key of a body in Stats.RunsOfBody.
 func BodyHash(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
-func (s *Service) gate() server.Gate {
-	return server.Gate{
-		Changed:       s.Faults.Changed,
-		Frozen:        func() bool { return s.Faults.Get().FreezeRequests },
-		Down:          func() bool { return s.Faults.Get().Down },
-		Open:          []string{fault.Path, PathStats},
-		KeepAbandoned: true,
+func (s *Service) requestFaults() server.RequestFaults {
+	return server.RequestFaults{
+		Changed:      s.Faults.Changed,
+		IsFrozen:     func() bool { return s.Faults.Get().FreezeRequests },
+		IsDown:       func() bool { return s.Faults.Get().Down },
+		ExemptPaths:  []string{fault.Path, PathStats},
+		IgnoreCancel: true,
 	}
 }
 
@@ -190,11 +195,11 @@
 		return
 	}
 	defer func() { <-s.slots }()
-	run := s.count(request, body)
-	// A service, unlike an engine, does not stop when its caller goes away.
-	time.Sleep(s.work())
-	if s.Faults.Take(func(f *Faults) *int { return &f.CutAfterRun }) {
-		server.Cut()
+	run := s.countRun(request, body)
+	// Unlike an engine, a plain service runs on after its client has disconnected.
+	time.Sleep(s.workTime())
+	if s.Faults.TakeOne(func(f *Faults) *int { return &f.CutAfterRun }) {
+		server.CutConnection()
 	}
 	answer, err := json.Marshal(Echo{
 		Method: r.Method,
@@ -205,8 +210,8 @@
 	server.WriteJSON(w, http.StatusOK, answer, err)
 }
 
-// acquire waits for a slot; false where the queue is full. Like the run itself
-// it does not end with its caller.
+// acquire waits for a slot and returns false if the queue is full. Like the run
+// itself it continues after the client has disconnected.
 func (s *Service) acquire() bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -246,10 +251,10 @@
 	http.Error(w, "not run", http.StatusServiceUnavailable)
 }
 
-func (s *Service) count(request ident.RequestID, body []byte) int {
+func (s *Service) countRun(request ident.RequestID, body []byte) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.stats.Runs) >= runsKept || len(s.stats.RunsOfBody) >= runsKept {
+	if len(s.stats.Runs) >= maxCountedRuns || len(s.stats.RunsOfBody) >= maxCountedRuns {
 		s.stats.RunsNotKept++
 		return 0
 	}
@@ -258,11 +263,11 @@
 	return s.stats.Runs[request]
 }
 
-func (s *Service) work() time.Duration {
-	if set := time.Duration(s.Faults.Get().WorkFor); set > 0 {
-		return set
+func (s *Service) workTime() time.Duration {
+	if override := time.Duration(s.Faults.Get().WorkFor); override > 0 {
+		return override
 	}
-	return s.options.Work
+	return s.options.WorkTime
 }
 
 func (s *Service) isLeaving() bool {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,10 +1,10 @@
-// Package platform runs the whole of the platform's stand-ins in one process:
+// Package platform runs the stand-ins of a whole platform in one process:
 // key-value service, host list, weight store, model engines and plain services.
 //
 // # Usage
 //
 //	p, err := platform.Start(platform.Options{
-//		Place: platform.Place{
+//		Location: platform.Location{
 //			DataCentre: "brest-a",
 //			Region:     "finistere",
 //		},
@@ -12,6 +12,8 @@
 //	})
 //	defer p.Stop()
 //	address, err := p.AddEngine("gpu-1", engine.Options{})
+//
+// The methods of a Platform must not be called concurrently.
 package platform
 
 import (
@@ -29,55 +31,55 @@
 	"cicadaloom/internal/standin/weights"
 )
 
-// anyPort lets the system choose the port of a stand-in.
-const anyPort = "127.0.0.1:0"
+// anyPortAddress listens on a free port that the system chooses.
+const anyPortAddress = "127.0.0.1:0"
 
-// Place is where a host stands.
-type Place struct {
+// Location is where a host runs.
+type Location struct {
 	DataCentre ident.DataCentre
 	Region     ident.Region
 }
 
-// Options say how the platform behaves.
+// Options configures a Platform.
 type Options struct {
-	// Place is for all hosts that are added without one.
-	Place Place
-	// LoadsPerSecond is the weight store's pace; zero takes the users'.
+	// Location is that of all hosts that are added.
+	Location Location
+	// LoadsPerSecond is the weight store's load rate; zero takes its default.
 	LoadsPerSecond float64
 }
 
-// Platform is a running platform with the addresses of its parts.
+// Platform is a running platform, with its stand-ins and their addresses.
 type Platform struct {
-	KeyValue    string
-	HostList    string
-	WeightStore string
+	KeyValueAddress    string
+	HostListAddress    string
+	WeightStoreAddress string
 
-	Store   *etcd.Server
-	List    *hostlist.List
-	Weights *weights.Store
-	Engines map[ident.ServerName]*engine.Engine
-	Plains  map[ident.ServerName]*plain.Service
+	KeyValueServer    *etcd.Server
+	HostListServer    *hostlist.List
+	WeightStoreServer *weights.Store
+	Engines           map[ident.ServerName]*engine.Engine
+	PlainServices     map[ident.ServerName]*plain.Service
 
 	options Options
 	running []stopper
 }
 
-// stopper is a stand-in that runs.
+// stopper is a running stand-in.
 type stopper interface {
 	Stop() error
 }
 
-// Start starts the platform without any backend server.
+// Start starts the platform without backend servers.
 func Start(options Options) (*Platform, error) {
 	p := &Platform{
-		Store: etcd.New(etcd.Options{}),
-		List:  hostlist.New(hostlist.Options{}),
-		Weights: weights.New(weights.Options{
+		KeyValueServer: etcd.New(etcd.Options{}),
+		HostListServer: hostlist.New(hostlist.Options{}),
+		WeightStoreServer: weights.New(weights.Options{
 			LoadsPerSecond: options.LoadsPerSecond,
 		}),
-		Engines: make(map[ident.ServerName]*engine.Engine),
-		Plains:  make(map[ident.ServerName]*plain.Service),
-		options: options,
+		Engines:       make(map[ident.ServerName]*engine.Engine),
+		PlainServices: make(map[ident.ServerName]*plain.Service),
+		options:       options,
 	}
 	if err := p.start(); err != nil {
 		p.Stop()
@@ -87,51 +89,53 @@
 }
 
 func (p *Platform) start() error {
-	keyValue, err := p.Store.Start(anyPort)
+	keyValue, err := p.KeyValueServer.Start(anyPortAddress)
 	if err != nil {
 		return errors.Wrap(err, "key-value service")
 	}
-	p.KeyValue = keyValue.String()
-	p.running = append(p.running, p.Store)
-	if p.HostList, err = p.List.Start(anyPort); err != nil {
+	p.KeyValueAddress = keyValue.String()
+	p.running = append(p.running, p.KeyValueServer)
+	if p.HostListAddress, err = p.HostListServer.Start(anyPortAddress); err != nil {
 		return errors.Wrap(err, "host list")
 	}
-	p.running = append(p.running, p.List)
-	if p.WeightStore, err = p.Weights.Start(anyPort); err != nil {
+	p.running = append(p.running, p.HostListServer)
+	if p.WeightStoreAddress, err = p.WeightStoreServer.Start(anyPortAddress); err != nil {
 		return errors.Wrap(err, "weight store")
 	}
-	p.running = append(p.running, p.Weights)
+	p.running = append(p.running, p.WeightStoreServer)
 	return nil
 }
 
-// AddEngine starts a model engine and puts it on the list.
+// AddEngine starts a model engine, registers it in the host list and returns its
+// address.
 func (p *Platform) AddEngine(name ident.ServerName, options engine.Options) (string, error) {
 	options.Name = name
-	options.Weights = p.WeightStore
+	options.WeightStore = p.WeightStoreAddress
 	added := engine.New(options)
-	address, err := added.Start(anyPort)
+	address, err := added.Start(anyPortAddress)
 	if err != nil {
 		return "", errors.Wrapf(err, "engine %s", name)
 	}
 	p.running = append(p.running, added)
 	p.Engines[name] = added
-	return address, p.list(backend.Server{
+	return address, p.register(backend.Server{
 		Name:    name,
 		Kind:    backend.KindEngine,
 		Address: address,
 	})
 }
 
-// AddPlain starts a plain service and puts it on the list.
-func (p *Platform) AddPlain(name ident.ServerName, service ident.ServiceName, options plain.Options) (string, error) {
+// AddPlainService starts a plain service, registers it in the host list and returns
+// its address.
+func (p *Platform) AddPlainService(name ident.ServerName, service ident.ServiceName, options plain.Options) (string, error) {
 	added := plain.New(options)
-	address, err := added.Start(anyPort)
+	address, err := added.Start(anyPortAddress)
 	if err != nil {
 		return "", errors.Wrapf(err, "service %s", name)
 	}
 	p.running = append(p.running, added)
-	p.Plains[name] = added
-	return address, p.list(backend.Server{
+	p.PlainServices[name] = added
+	return address, p.register(backend.Server{
 		Name:    name,
 		Kind:    backend.KindService,
 		Address: address,
@@ -139,50 +143,50 @@
 	})
 }
 
-// AddEntryHost puts an entry host on the list, as the platform would.
+// AddEntryHost registers an entry host in the host list, as the platform does.
 func (p *Platform) AddEntryHost(name ident.HostID, peerAddress string) error {
-	return p.list(backend.Server{
+	return p.register(backend.Server{
 		Name:    ident.ServerName(name),
 		Kind:    backend.KindEntry,
 		Address: peerAddress,
 	})
 }
 
-// HostSettings gives the settings of an entry host in front of this platform: the
-// defaults, at the platform's place, at whatever ports are free.
+// HostSettings returns the settings of an entry host that uses this platform: the
+// defaults, with the platform's location and with free ports.
 func (p *Platform) HostSettings(name ident.HostID) settings.Settings {
 	result := settings.Default()
 	result.Host = settings.Host{
 		Name:       name,
-		DataCentre: p.options.Place.DataCentre,
-		Region:     p.options.Place.Region,
+		DataCentre: p.options.Location.DataCentre,
+		Region:     p.options.Location.Region,
 		DataCentres: map[ident.DataCentre]ident.Region{
-			p.options.Place.DataCentre: p.options.Place.Region,
+			p.options.Location.DataCentre: p.options.Location.Region,
 		},
 	}
 	result.Listen = settings.Listen{
-		Callers:   anyPort,
-		Operators: anyPort,
-		Peers:     anyPort,
+		Callers:   anyPortAddress,
+		Operators: anyPortAddress,
+		Peers:     anyPortAddress,
 	}
-	// There is no balancer in front of it.
+	// No load balancer stands in front of the host.
 	result.Callers.LameDuck = 0
 	result.Platform = settings.Platform{
-		KeyValue: []string{p.KeyValue},
-		HostList: "http://" + p.HostList,
+		KeyValue: []string{p.KeyValueAddress},
+		HostList: "http://" + p.HostListAddress,
 	}
 	return result
 }
 
-func (p *Platform) list(host backend.Server) error {
+func (p *Platform) register(host backend.Server) error {
 	host.State = backend.StateLive
-	host.DataCentre = p.options.Place.DataCentre
-	host.Region = p.options.Place.Region
-	return errors.Wrap(hostlist.Register(context.Background(), p.HostList, host), "host list")
+	host.DataCentre = p.options.Location.DataCentre
+	host.Region = p.options.Location.Region
+	return errors.Wrap(hostlist.Register(context.Background(), p.HostListAddress, host), "host list")
 }
 
-// Stop stops everything, the newest first. It is over when all have ended;
-// stand-ins keep nothing that an error could lose.
+// Stop stops everything, in reverse order of start, and returns when all stand-ins
+// have ended. Errors are ignored: stand-ins have no data to lose.
 func (p *Platform) Stop() {
 	for i := len(p.running) - 1; i >= 0; i-- {
 		_ = p.running[i].Stop()
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay stands between two processes and fails as networks do: it cuts
-// connections, swallows what is sent, delays it, and lets only so much through.
+// Package relay is a TCP proxy that simulates network failures between two
+// processes: it can close connections, discard and delay data, and limit the
+// bandwidth.
 //
 // # Usage
 //
@@ -7,11 +8,13 @@
 //		Target: "127.0.0.1:2379",
 //	})
 //	address, err := r.Start("127.0.0.1:0")
+//	defer r.Stop()
 //	r.Faults.Set(relay.Faults{
 //		Cut: true,
 //	})
 //
-// The faults hold for connections that are open already as well as for new ones.
+// Faults apply to open connections as well as to new ones. Each connection has a
+// goroutine for each direction and one that waits for its end.
 package relay
 
 import (
@@ -26,46 +29,47 @@
 	"cicadaloom/internal/standin/fault"
 )
 
-// Faults are what a relay can do to its connections.
+// Faults are the failures that a relay simulates.
 type Faults struct {
-	// Cut closes all connections and takes no new ones.
+	// Cut closes all connections, and closes new ones at once.
 	Cut bool
-	// Swallow keeps connections open and drops what is sent, as a network does
-	// that has failed without a word.
+	// Swallow keeps connections open but discards the data, as a network does that
+	// drops packets silently.
 	Swallow bool
-	// Delay is added to each piece on its way.
+	// Delay is added to each chunk of data.
 	Delay fault.Duration
-	// BytesPerSecond bounds each direction of all connections together; 0 is no
-	// bound.
+	// BytesPerSecond limits each direction of all connections together; 0 is no
+	// limit.
 	BytesPerSecond int
 }
 
-// Options say where a relay leads to.
+// Options configures a Relay.
 type Options struct {
+	// Target is the address to which connections are forwarded.
 	Target string
 }
 
 const (
-	pieceSize   = 16 << 10
+	chunkSize   = 16 << 10
 	dialTimeout = 2 * time.Second
 )
 
-// Relay is one relay. Make it with New.
+// Relay is the proxy. Create it with New.
 type Relay struct {
 	Faults   fault.Switch[Faults]
 	options  Options
 	tomb     tomb.Tomb
 	listener net.Listener
-	forth    *rate.Limiter
-	back     *rate.Limiter
+	toTarget *rate.Limiter
+	toClient *rate.Limiter
 }
 
-// New returns a relay that is not yet listening.
+// New returns a relay that is not started yet.
 func New(options Options) *Relay {
 	return &Relay{
-		options: options,
-		forth:   rate.NewLimiter(rate.Inf, pieceSize),
-		back:    rate.NewLimiter(rate.Inf, pieceSize),
+		options:  options,
+		toTarget: rate.NewLimiter(rate.Inf, chunkSize),
+		toClient: rate.NewLimiter(rate.Inf, chunkSize),
 	}
 }
 
@@ -76,18 +80,18 @@
 		return "", errors.Wrap(err, "relay")
 	}
 	r.listener = listener
-	r.tomb.Go(r.accept)
+	r.tomb.Go(r.acceptLoop)
 	return listener.Addr().String(), nil
 }
 
-// Stop closes everything.
+// Stop closes the listener and all connections.
 func (r *Relay) Stop() error {
 	r.tomb.Kill(nil)
 	_ = r.listener.Close()
 	return r.tomb.Wait()
 }
 
-func (r *Relay) accept() error {
+func (r *Relay) acceptLoop() error {
 	for {
 		connection, err := r.listener.Accept()
 		if err != nil {
@@ -97,29 +101,30 @@
 			_ = connection.Close()
 			continue
 		}
-		r.tomb.Go(func() error { return r.join(connection) })
+		r.tomb.Go(func() error { return r.proxyConnection(connection) })
 	}
 }
 
-// join carries one connection until either side or the relay ends it.
-func (r *Relay) join(near net.Conn) error {
-	far, err := net.DialTimeout("tcp", r.options.Target, dialTimeout)
+// proxyConnection forwards one connection until either side closes it, the Cut
+// fault is set or the relay stops.
+func (r *Relay) proxyConnection(client net.Conn) error {
+	target, err := net.DialTimeout("tcp", r.options.Target, dialTimeout)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return nil
 	}
 	ctx, cancel := context.WithCancel(r.tomb.Context(context.Background()))
-	r.tomb.Go(func() error { return r.carry(ctx, cancel, near, far, r.forth) })
-	r.tomb.Go(func() error { return r.carry(ctx, cancel, far, near, r.back) })
-	r.watch(ctx)
+	r.tomb.Go(func() error { return r.copyDirection(ctx, cancel, client, target, r.toTarget) })
+	r.tomb.Go(func() error { return r.copyDirection(ctx, cancel, target, client, r.toClient) })
+	r.waitForCut(ctx)
 	cancel()
-	_ = near.Close()
-	_ = far.Close()
+	_ = client.Close()
+	_ = target.Close()
 	return nil
 }
 
-// watch returns when the connection has ended or is to be cut.
-func (r *Relay) watch(ctx context.Context) {
+// waitForCut returns when the connection has ended or the Cut fault is set.
+func (r *Relay) waitForCut(ctx context.Context) {
 	for {
 		changed := r.Faults.Changed()
 		if r.Faults.Get().Cut {
@@ -133,12 +138,12 @@
 	}
 }
 
-func (r *Relay) carry(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, limiter *rate.Limiter) error {
+func (r *Relay) copyDirection(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, limiter *rate.Limiter) error {
 	defer cancel()
-	piece := make([]byte, pieceSize)
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := from.Read(piece)
-		if n > 0 && !r.pass(ctx, to, piece[:n], limiter) {
+		n, err := from.Read(chunk)
+		if n > 0 && !r.forward(ctx, to, chunk[:n], limiter) {
 			return nil
 		}
 		if err != nil {
@@ -147,8 +152,8 @@
 	}
 }
 
-// pass sends one piece on, as the faults have it, and tells whether it went on.
-func (r *Relay) pass(ctx context.Context, to net.Conn, piece []byte, limiter *rate.Limiter) bool {
+// forward writes one chunk as the faults allow, and reports whether to continue.
+func (r *Relay) forward(ctx context.Context, to net.Conn, chunk []byte, limiter *rate.Limiter) bool {
 	faults := r.Faults.Get()
 	if faults.Swallow {
 		return true
@@ -158,7 +163,7 @@
 		limit = rate.Limit(faults.BytesPerSecond)
 	}
 	limiter.SetLimit(limit)
-	if err := limiter.WaitN(ctx, len(piece)); err != nil {
+	if err := limiter.WaitN(ctx, len(chunk)); err != nil {
 		return false
 	}
 	if faults.Delay > 0 {
@@ -170,6 +175,6 @@
 			return false
 		}
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(chunk)
 	return err == nil
 }
--- a/internal/standin/server/server.go
+++ b/internal/standin/server/server.go
@@ -1,6 +1,9 @@
-// Package server is the HTTP process life that stand-ins share: listening under
-// a tomb, a graceful stop, a crash with a later restart, and requests that hang
-// or are cut off.
+// Package server is the HTTP server that stand-ins share: it listens, stops
+// gracefully, simulates a crash with a later restart, and holds or cuts requests
+// as the faults say.
+//
+// A Server's goroutines run in a tomb, and a mutex guards its fields.
+// Server.ApplyFaults wraps a handler with the faults.
 //
 // # Usage
 //
@@ -22,26 +25,27 @@
 )
 
 const (
-	// stopGrace is how long Stop waits for requests in flight.
-	stopGrace = 15 * time.Second
-	// headerTimeout bounds how long a client may take over a header.
-	headerTimeout = 10 * time.Second
-	// relistenPause is between two tries to get the old address back.
-	relistenPause = 20 * time.Millisecond
+	// shutdownTimeout is how long Stop waits for requests in flight.
+	shutdownTimeout = 15 * time.Second
+	// readHeaderTimeout bounds the time in which a client sends a request's
+	// header.
+	readHeaderTimeout = 10 * time.Second
+	// relistenInterval is the time between attempts to listen on the old address.
+	relistenInterval = 20 * time.Millisecond
 )
 
-// Server is one stand-in's HTTP server. Its zero value is ready to start, once.
+// Server is a stand-in's HTTP server. The zero value can be started once.
 type Server struct {
-	tomb     tomb.Tomb
-	mu       sync.Mutex
-	http     *http.Server // nil between a crash and the restart
-	handler  http.Handler
-	address  string
-	stopping chan struct{} // closed when Stop begins
-	ended    bool          // no goroutine starts any more
+	tomb      tomb.Tomb
+	mu        sync.Mutex
+	http      *http.Server // nil from a crash to the restart
+	handler   http.Handler
+	address   string
+	stopping  chan struct{} // closed when Stop begins
+	isStopped bool          // no new goroutine may start
 }
 
-// Start listens and serves, and returns the address that it got.
+// Start listens, serves, and returns the address.
 func (s *Server) Start(listen string, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -52,36 +56,37 @@
 	s.handler = handler
 	s.address = listener.Addr().String()
 	s.stopping = make(chan struct{})
-	// A tomb whose last goroutine has ended takes no other. This one keeps it
-	// open between a crash and the restart, and while Stop waits for requests.
+	// A tomb accepts no goroutine after its last one has ended. This one keeps it
+	// alive between a crash and the restart, and while Stop waits for requests.
 	s.tomb.Go(func() error {
 		<-s.tomb.Dying()
 		return nil
 	})
-	s.serve(listener)
+	s.serveListener(listener)
 	return s.address, nil
 }
 
-// Go runs f along with the server; f must end when Dying is closed. After the
-// stop it does nothing.
+// Go runs f in the server's tomb; f must return when Dying is closed. Before the
+// start and after the stop Go does nothing.
 func (s *Server) Go(f func() error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopping != nil && !s.ended {
+	if s.stopping != nil && !s.isStopped {
 		s.tomb.Go(f)
 	}
 }
 
-// Dying is closed when the server has begun to stop and its requests are done.
+// Dying returns a channel that is closed when the server stops and its requests
+// have ended.
 func (s *Server) Dying() <-chan struct{} {
 	return s.tomb.Dying()
 }
 
-// serve is called with mu held.
-func (s *Server) serve(listener net.Listener) {
+// serveListener serves in a new goroutine. The caller holds mu.
+func (s *Server) serveListener(listener net.Listener) {
 	server := &http.Server{
 		Handler:           s.handler,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	s.http = server
 	s.tomb.Go(func() error {
@@ -92,8 +97,8 @@
 	})
 }
 
-// Stop refuses new connections, lets the requests in flight end, and returns
-// when all is over. Requests that hang by a fault are cut off at once.
+// Stop refuses new connections, waits for the requests in flight, and returns when
+// all goroutines have ended. Requests held by a fault are cut at once.
 func (s *Server) Stop() error {
 	s.mu.Lock()
 	if s.stopping == nil { // never started
@@ -112,23 +117,24 @@
 		shutdown(server)
 	}
 	s.mu.Lock()
-	s.ended = true
+	s.isStopped = true
 	s.mu.Unlock()
 	s.tomb.Kill(nil)
 	return s.tomb.Wait()
 }
 
 func shutdown(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		_ = server.Close() // the listener is closed already: nothing else to do
+		_ = server.Close() // the listener is closed already
 	}
 }
 
-// Crash closes the listener and every connection at once, as a process that
-// dies. After the pause it calls revive and listens on the same address again.
-func (s *Server) Crash(pause time.Duration, revive func()) {
+// Crash closes the listener and all connections at once, as if the process were
+// killed. After the delay it calls beforeRestart and listens on the same address
+// again.
+func (s *Server) Crash(delay time.Duration, beforeRestart func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server := s.http
@@ -136,44 +142,44 @@
 		return // crashed already, or stopping
 	}
 	s.http = nil
-	_ = server.Close() // what can't be closed is closed already
+	_ = server.Close() // an error means that it is closed already
 	s.tomb.Go(func() error {
-		if s.wait(pause) {
-			s.restart(revive)
+		if s.sleep(delay) {
+			s.restart(beforeRestart)
 		}
 		return nil
 	})
 }
 
-func (s *Server) restart(revive func()) {
-	revive()
+func (s *Server) restart(beforeRestart func()) {
+	beforeRestart()
 	for {
 		listener, err := net.Listen("tcp", s.address)
 		if err == nil {
-			s.resume(listener)
+			s.serveUnlessStopping(listener)
 			return
 		}
-		// The old connections may hold the address for a moment.
-		if !s.wait(relistenPause) {
+		// The closed connections may still occupy the address for a moment.
+		if !s.sleep(relistenInterval) {
 			return
 		}
 	}
 }
 
-func (s *Server) resume(listener net.Listener) {
+func (s *Server) serveUnlessStopping(listener net.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
 	case <-s.stopping:
-		_ = listener.Close() // it served nothing yet
+		_ = listener.Close() // it has not served anything yet
 	default:
-		s.serve(listener)
+		s.serveListener(listener)
 	}
 }
 
-// wait tells whether the pause passed before a stop.
-func (s *Server) wait(pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// sleep waits for the given time. It returns false if the server stops earlier.
+func (s *Server) sleep(length time.Duration) bool {
+	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,4 +1,5 @@
-// Package weights stands in for the platform's weight store: it paces loads.
+// Package weights is a stand-in for the platform's weight store: it simulates the
+// time that loads take.
 //
 // # Usage
 //
@@ -7,20 +8,25 @@
 //	defer store.Stop()
 //
 // `POST /loads` answers when the load is done. A model takes
-// AtOnce/LoadsPerSecond alone, 6.7 s with the defaults, and n models together
-// take max(1, n/AtOnce) times as long: so the whole store gives LoadsPerSecond.
-// An adapter takes between AdapterFastest and AdapterSlowest, by its name, and
-// max(1, n/AdaptersAtOnce) times as long with n in transit. The pace follows n
-// as it changes. `GET /status` tells how many loads go on.
+// FullSpeedLoads/LoadsPerSecond alone, 6.7 s with the defaults, and n concurrent
+// models take max(1, n/FullSpeedLoads) times as long, so that the whole store
+// completes at most LoadsPerSecond. An adapter takes between MinAdapterTime and
+// MaxAdapterTime, by the hash of its name, and max(1, n/FullSpeedAdapterLoads)
+// times as long with n concurrent adapters. When n changes, loads in progress
+// speed up or slow down. `GET /status` returns the number of loads in progress and
+// done.
 //
-// The fault switches are Down (connections are cut), FreezeRequests (requests
-// hang until it is off), SlowFactor (all loads take as many times as long) and
-// FailLoads (so many next loads are answered with status 500).
+// The faults, set at /faults, are Down (connections are closed without an answer),
+// FreezeRequests (requests wait until it is cleared), SlowFactor (multiplies the
+// time of all loads, if above 1) and FailLoads (the number of next loads that are
+// answered with status 500).
 //
-// # Source
+// Each load runs in the goroutine of its HTTP handler; a mutex guards the counts.
 //
-// The figures are those of the brief: about one and a half loads a second, ten
-// at once at full speed; adapters 6 to 20 ms up to 85 in transit.
+// # Defaults
+//
+// The defaults are the platform's: about one and a half model loads a second, ten
+// at once at full speed; adapters take 6 to 20 ms with up to 85 in transit.
 package weights
 
 import (
@@ -37,31 +43,32 @@
 	"cicadaloom/internal/wire/engineapi"
 )
 
-// The defaults of Options.
+// Defaults of Options.
 const (
-	DefaultLoadsPerSecond = 1.5
-	DefaultAtOnce         = 10
-	DefaultAdapterFastest = 6 * time.Millisecond
-	DefaultAdapterSlowest = 20 * time.Millisecond
-	DefaultAdaptersAtOnce = 85
+	DefaultLoadsPerSecond        = 1.5
+	DefaultFullSpeedLoads        = 10
+	DefaultMinAdapterTime        = 6 * time.Millisecond
+	DefaultMaxAdapterTime        = 20 * time.Millisecond
+	DefaultFullSpeedAdapterLoads = 85
 )
 
-// A load runs in steps of this length and takes the pace anew at each.
+// A load waits in steps of this length; each step follows the number of loads
+// and the faults at its start.
 const (
-	modelStep   = 100 * time.Millisecond
-	adapterStep = 2 * time.Millisecond
+	modelStepTime   = 100 * time.Millisecond
+	adapterStepTime = 2 * time.Millisecond
 )
 
-// Options are the store's settings; zero values take the defaults.
+// Options configures a Store. Zero values take the defaults.
 type Options struct {
-	LoadsPerSecond float64
-	AtOnce         int
-	AdapterFastest time.Duration
-	AdapterSlowest time.Duration
-	AdaptersAtOnce int
+	LoadsPerSecond        float64
+	FullSpeedLoads        int
+	MinAdapterTime        time.Duration
+	MaxAdapterTime        time.Duration
+	FullSpeedAdapterLoads int
 }
 
-// Faults are the switches at /faults.
+// Faults are the failures that the store simulates, set at /faults.
 type Faults struct {
 	Down           bool
 	FreezeRequests bool
@@ -69,71 +76,71 @@
 	FailLoads      int
 }
 
-// Store is the stand-in.
+// Store is the simulated weight store. Create it with New.
 type Store struct {
 	Faults  fault.Switch[Faults]
 	options Options
 	server  server.Server
 
-	mu       sync.Mutex
-	models   int
-	adapters int
-	done     int64
+	mu           sync.Mutex
+	modelLoads   int
+	adapterLoads int
+	loadsDone    int64
 }
 
-// New makes a store.
+// New returns a store that is not started yet.
 func New(options Options) *Store {
 	if options.LoadsPerSecond <= 0 {
 		options.LoadsPerSecond = DefaultLoadsPerSecond
 	}
-	if options.AtOnce <= 0 {
-		options.AtOnce = DefaultAtOnce
+	if options.FullSpeedLoads <= 0 {
+		options.FullSpeedLoads = DefaultFullSpeedLoads
 	}
-	if options.AdapterFastest <= 0 {
-		options.AdapterFastest = DefaultAdapterFastest
+	if options.MinAdapterTime <= 0 {
+		options.MinAdapterTime = DefaultMinAdapterTime
 	}
-	if options.AdapterSlowest < options.AdapterFastest {
-		options.AdapterSlowest = max(DefaultAdapterSlowest, options.AdapterFastest)
+	if options.MaxAdapterTime < options.MinAdapterTime {
+		options.MaxAdapterTime = max(DefaultMaxAdapterTime, options.MinAdapterTime)
 	}
-	if options.AdaptersAtOnce <= 0 {
-		options.AdaptersAtOnce = DefaultAdaptersAtOnce
+	if options.FullSpeedAdapterLoads <= 0 {
+		options.FullSpeedAdapterLoads = DefaultFullSpeedAdapterLoads
 	}
 	return &Store{
 		options: options,
 	}
 }
 
-// Start serves the store and returns the address.
+// Start starts the HTTP server and returns its address.
 func (s *Store) Start(listen string) (string, error) {
 	router := bunrouter.New()
-	router.POST(engineapi.PathLoads, server.Route(s.serveLoad))
-	router.GET(engineapi.PathLoadStatus, server.Route(s.serveStatus))
+	router.POST(engineapi.PathWeightLoads, server.Route(s.serveLoad))
+	router.GET(engineapi.PathWeightStatus, server.Route(s.serveStatus))
 	router.GET(fault.Path, server.Route(s.Faults.ServeHTTP))
 	router.POST(fault.Path, server.Route(s.Faults.ServeHTTP))
-	return s.server.Start(listen, s.server.Guard(s.gate(), router))
+	return s.server.Start(listen, s.server.ApplyFaults(s.requestFaults(), router))
 }
 
-// Stop ends the stand-in when the loads going on are done.
+// Stop waits for the loads in progress and stops the HTTP server.
 func (s *Store) Stop() error {
 	return s.server.Stop()
 }
 
-// Status tells the loads going on and done.
+// Status returns the number of loads in progress and done.
 func (s *Store) Status() engineapi.WeightStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return engineapi.WeightStatus{
-		InTransit: s.models + s.adapters,
-		LoadsDone: s.done,
+		InTransit: s.modelLoads + s.adapterLoads,
+		LoadsDone: s.loadsDone,
 	}
 }
 
-func (s *Store) gate() server.Gate {
-	return server.Gate{
-		Changed: s.Faults.Changed,
-		Frozen:  func() bool { return s.Faults.Get().FreezeRequests },
-		Down:    func() bool { return s.Faults.Get().Down },
-		Open:    []string{fault.Path},
+func (s *Store) requestFaults() server.RequestFaults {
+	return server.RequestFaults{
+		Changed:     s.Faults.Changed,
+		IsFrozen:    func() bool { return s.Faults.Get().FreezeRequests },
+		IsDown:      func() bool { return s.Faults.Get().Down },
+		ExemptPaths: []string{fault.Path},
 	}
 }
 
@@ -152,74 +159,77 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s.Faults.Take(func(f *Faults) *int { return &f.FailLoads }) {
+	if s.Faults.TakeOne(func(f *Faults) *int { return &f.FailLoads }) {
 		http.Error(w, "load failed", http.StatusInternalServerError)
 		return
 	}
 	if !s.load(r.Context(), load) {
-		server.Cut()
+		server.CutConnection()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// load passes the time of a load and tells whether its client stayed.
+// load waits for the time of a load. It returns false if the client disconnects
+// earlier.
 func (s *Store) load(ctx context.Context, load engineapi.WeightLoad) bool {
-	work := s.work(load)
-	s.add(work.count, 1)
-	defer s.add(work.count, -1)
-	for left := work.alone; left > 0; left -= work.step {
-		if !server.Pause(ctx, s.slowed(min(left, work.step), work)) {
+	profile := s.profile(load)
+	s.addCount(profile.concurrent, 1)
+	defer s.addCount(profile.concurrent, -1)
+	for remaining := profile.baseTime; remaining > 0; remaining -= profile.step {
+		if !server.Pause(ctx, s.stepTime(min(remaining, profile.step), profile)) {
 			return false
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done++
+	s.loadsDone++
 	return true
 }
 
-// work is how long a load takes alone, and whom it shares the store with.
-type work struct {
-	alone  time.Duration
-	step   time.Duration
-	count  *int
-	atOnce int
+// loadProfile is the time of a load alone, and the loads with which it shares the
+// store's throughput.
+type loadProfile struct {
+	baseTime       time.Duration
+	step           time.Duration
+	concurrent     *int
+	fullSpeedLoads int
 }
 
-func (s *Store) work(load engineapi.WeightLoad) work {
+func (s *Store) profile(load engineapi.WeightLoad) loadProfile {
 	if load.Adapter != "" {
-		return work{
-			alone:  s.adapterTime(string(load.Adapter)),
-			step:   adapterStep,
-			count:  &s.adapters,
-			atOnce: s.options.AdaptersAtOnce,
+		return loadProfile{
+			baseTime:       s.adapterTime(string(load.Adapter)),
+			step:           adapterStepTime,
+			concurrent:     &s.adapterLoads,
+			fullSpeedLoads: s.options.FullSpeedAdapterLoads,
 		}
 	}
-	seconds := float64(s.options.AtOnce) / s.options.LoadsPerSecond
-	return work{
-		alone:  time.Duration(seconds * float64(time.Second)),
-		step:   modelStep,
-		count:  &s.models,
-		atOnce: s.options.AtOnce,
+	seconds := float64(s.options.FullSpeedLoads) / s.options.LoadsPerSecond
+	return loadProfile{
+		baseTime:       time.Duration(seconds * float64(time.Second)),
+		step:           modelStepTime,
+		concurrent:     &s.modelLoads,
+		fullSpeedLoads: s.options.FullSpeedLoads,
 	}
 }
 
-// slowed is how long a step takes at the pace of now.
-func (s *Store) slowed(step time.Duration, work work) time.Duration {
-	slow := max(1, s.Faults.Get().SlowFactor)
+// stepTime returns the time of a step at the current number of concurrent loads.
+func (s *Store) stepTime(step time.Duration, profile loadProfile) time.Duration {
+	slowFactor := max(1, s.Faults.Get().SlowFactor)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	crowd := max(1, float64(*work.count)/float64(work.atOnce))
-	return time.Duration(float64(step) * crowd * slow)
+	overload := max(1, float64(*profile.concurrent)/float64(profile.fullSpeedLoads))
+	return time.Duration(float64(step) * overload * slowFactor)
 }
 
-// adapterTime spreads adapters evenly over their range of times.
+// adapterTime returns the time of an adapter's load alone; the hash of the name
+// spreads adapters evenly over the range.
 func (s *Store) adapterTime(name string) time.Duration {
-	spread := uint64(s.options.AdapterSlowest-s.options.AdapterFastest) + 1
-	return s.options.AdapterFastest + time.Duration(xxhash.Sum64String(name)%spread)
+	spread := uint64(s.options.MaxAdapterTime-s.options.MinAdapterTime) + 1
+	return s.options.MinAdapterTime + time.Duration(xxhash.Sum64String(name)%spread)
 }
 
-func (s *Store) add(count *int, change int) {
+func (s *Store) addCount(count *int, change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*count += change
--- a/internal/traffic/relay/suspect.go
+++ b/internal/traffic/relay/suspect.go
@@ -7,16 +7,17 @@
 	"cicadaloom/internal/control/suspects"
 )
 
-// unsuspected refuses a request of a content under which servers have died. Now and
-// then one request crashes each server that runs it, and comes again with the same
-// content; each time it takes all that runs beside it. Requests without a body are
-// not told apart by their content: many of them are alike, and none is suspected.
-func (s *serving) unsuspected() bool {
+// allowedBySuspects refuses a request with the same content as requests under which servers
+// have crashed. Some requests crash each server that runs them, and are sent again with the
+// same content; each time all other requests in flight at that server are lost too.
+// Requests without a body can't be told apart by content, since many are alike, and are
+// never suspected.
+func (s *requestState) allowedBySuspects() bool {
 	if len(s.request.Body) == 0 {
 		return true
 	}
 	s.fingerprint = s.request.Fingerprint()
-	s.verdict = s.handler.Knowledge.Verdict(s.fingerprint)
+	s.verdict = s.handler.ControlPlane.Verdict(s.fingerprint)
 	if s.verdict == suspects.Refuse {
 		s.fail(http.StatusBadGateway, "servers have died under this request")
 		return false
@@ -24,23 +25,23 @@
 	return true
 }
 
-// noteSuspect tells what a send says of the request's content.
-func (s *serving) noteSuspect(ticket *balance.Ticket, sent *sent) {
+// reportSuspect reports what a send's result says about the request's content.
+func (s *requestState) reportSuspect(ticket *balance.Ticket, sent *sendResult) {
 	if len(s.request.Body) == 0 {
 		return
 	}
 	switch {
-	case sent.result == balance.Broken && !sent.proof:
-		s.handler.Knowledge.Lost(suspects.Loss{
+	case sent.result == balance.Broken && !sent.provedNotRun:
+		s.handler.ControlPlane.ReportLostAttempt(suspects.LostAttempt{
 			Fingerprint: s.fingerprint,
 			Request:     s.request.ID,
 			Address:     ticket.Address,
-			Life: suspects.Life{
+			ServerIncarnation: suspects.ServerIncarnation{
 				Server:      ticket.Server,
 				Incarnation: ticket.Incarnation,
 			},
 		})
-	case sent.result == balance.Answered && s.verdict == suspects.Alone:
-		s.handler.Knowledge.Cleared(s.fingerprint)
+	case sent.result == balance.Answered && s.verdict == suspects.ServeAlone:
+		s.handler.ControlPlane.ReportCleared(s.fingerprint)
 	}
 }
